--- a/crates/testkit/capture-production.sh
+++ b/crates/testkit/capture-production.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # Writes the fixtures of the version in production (`production` in deploy/service.toml) by running that
-# version's own code on the values in `crates/*/tests/fixtures/`. Not part of CI: run it after
+# version's own code on the values in `crates/testkit/capture/`, which use that version's names. The tests
+# build the same values with this version's names (`crates/*/tests/fixtures/`). Not part of CI: run it after
 # changing the values or the commit.
 set -euo pipefail
 root="$(cd "$(dirname "$0")/../.." && pwd)"
@@ -11,8 +12,7 @@
 git -C "$root" worktree add --detach --force "$tree" "$commit"
 example="$tree/crates/testkit/examples/capture"
 mkdir -p "$example"
-cp "$root/crates/testkit/capture/main.rs" "$root/crates/wire/tests/fixtures/values.rs" \
-    "$root/crates/control/tests/fixtures/records.rs" "$example/"
+cp "$root/crates/testkit/capture/"*.rs "$example/"
 wire="$root/crates/wire/tests/fixtures/production"
 control="$root/crates/control/tests/fixtures/production"
 rm -rf "$wire" "$control"
--- a/crates/testkit/capture/main.rs
+++ b/crates/testkit/capture/main.rs
@@ -1,5 +1,5 @@
-//! Writes the fixtures. `capture-production.sh` compiles it in the version in production, beside
-//! copies of the files that say which values.
+//! Writes the fixtures. `capture-production.sh` compiles these files in the version in production, so
+//! they use that version's names.
 mod records;
 mod values;
 
