--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -3,18 +3,18 @@
 use stonegw_wire::http::Request;
 
 /// Milliseconds of the steady clock, from any fixed point.
-pub type Ms = u64;
+pub type Millis = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    pub ms: Ms,
+    pub monotonic_ms: Millis,
     /// Time of day in ms; off by no more than the bound in the settings.
     pub wall_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Target {
-    State,
+    Store,
     Cloud,
     Worker(String),
 }
@@ -22,8 +22,8 @@
 /// A link between controllers: one that we dialled, or one that was dialled to us.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Link {
-    Out(usize),
-    In(u64),
+    Outbound(usize),
+    Inbound(u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,9 +31,9 @@
     /// The request surely never left.
     NotSent,
     /// It may have been carried out, or may yet be.
-    Unknown,
+    OutcomeUnknown,
     /// It was answered, but with more than is taken in.
-    TooLarge,
+    ResponseTooLarge,
 }
 
 pub type CallResult = Result<(u16, Vec<u8>), CallError>;
@@ -42,8 +42,8 @@
 pub enum Event {
     Start,
     Tick,
-    Request { id: u64, request: Request },
-    CallDone { call: u64, result: CallResult },
+    Request { request_id: u64, request: Request },
+    CallDone { call_id: u64, result: CallResult },
     Frame { from: Link, frame: Frame },
     LinkUp(Link),
     LinkDown(Link),
@@ -52,20 +52,20 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     Reply {
-        id: u64,
+        request_id: u64,
         status: u16,
         retry_after_s: Option<u32>,
         body: Vec<u8>,
     },
     Call {
-        call: u64,
+        call_id: u64,
         target: Target,
         method: &'static str,
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
     },
-    Send {
+    SendFrame {
         to: Link,
         frame: Frame,
     },
--- a/crates/control/src/fleet/calls.rs
+++ b/crates/control/src/fleet/calls.rs
@@ -1,39 +1,44 @@
 //! Answers of the cloud: each goes to the part of the fleet that asked.
-use super::FleetCall;
-use crate::api::{CallResult, Ms};
-use crate::leader::{Ctx, Leader};
-use crate::node::describe;
+use super::AutoscalerCall;
+use crate::api::{CallResult, Millis};
+use crate::leader::{Leader, LeaderContext};
+use crate::node::describe_result;
 use stonegw_constants as k;
 
 impl Leader {
     /// A call to the cloud was answered, or no answer came.
-    pub fn fleet_done(&mut self, ctx: &mut Ctx, call: FleetCall, result: CallResult) {
-        let now = ctx.now.ms;
+    pub fn cloud_call_done(
+        &mut self,
+        ctx: &mut LeaderContext,
+        call: AutoscalerCall,
+        result: CallResult,
+    ) {
+        let now = ctx.now.monotonic_ms;
         if matches!(result, Ok((429, _))) {
-            self.fleet.pause_until = now + k::CLOUD_RETRY_MS;
+            self.autoscaler.calls_paused_until = now + k::CLOUD_RETRY_BACKOFF_MS;
         }
         match call {
-            FleetCall::Catalog => self.catalog_done(now, result),
-            FleetCall::List => self.list_done(ctx, result),
-            FleetCall::Hire(number) => self.rental_done(now, number, result),
-            FleetCall::Delete(ids) => self.delete_done(now, ids, result),
+            AutoscalerCall::ReadCatalog => self.catalog_done(now, result),
+            AutoscalerCall::ListMachines => self.machine_list_done(ctx, result),
+            AutoscalerCall::Provision(number) => self.provision_done(now, number, result),
+            AutoscalerCall::Terminate(ids) => self.terminate_done(now, ids, result),
         }
     }
 
     /// The machines are gone, or are to be asked for again soon.
-    fn delete_done(&mut self, now: Ms, ids: Vec<String>, result: CallResult) {
+    fn terminate_done(&mut self, now: Millis, ids: Vec<String>, result: CallResult) {
         match result {
             Ok((200, _)) => {
                 for id in ids {
-                    self.machine_deleted(now, &id);
+                    self.handle_machine_deleted(now, &id);
                 }
-                self.wake = true;
+                self.scheduling_needed = true;
             }
             other => {
-                log::warn!("delete: {}", describe(&other));
+                log::warn!("delete: {}", describe_result(&other));
                 for id in ids {
                     if let Some(mut m) = self.machines.edit(&id) {
-                        m.delete_sent = now.saturating_sub(k::CLOUD_TIMEOUT_MS);
+                        m.last_delete_sent_at = now.saturating_sub(k::CLOUD_TIMEOUT_MS);
                     }
                 }
             }
--- a/crates/control/src/fleet/gang_room.rs
+++ b/crates/control/src/fleet/gang_room.rs
@@ -1,69 +1,80 @@
 //! Room that is kept for gangs to come: the largest gang of late, in the zone with most room.
-use super::room::{allowed, slots, slots_of_type};
+use super::room::{is_placement_allowed, slots_in, slots_on_empty_machine};
 use super::GangArrival;
-use crate::api::Ms;
-use crate::leader::{Ctx, Leader};
+use crate::api::Millis;
+use crate::leader::{Leader, LeaderContext};
 use crate::ledger::Machine;
 use std::collections::HashMap;
 use stonegw_constants as k;
 use stonegw_wire::msg::{JobSpec, MachineType};
 
 /// Room that is kept for gangs to come, in one zone.
-pub(super) struct GangRoom {
+pub(super) struct GangHeadroom {
     /// The largest gang of late.
     spec: JobSpec,
     zone: String,
     /// Free slots for its tasks in the zone.
-    pub(super) spare: u32,
+    pub(super) free_slots: u32,
 }
 
-impl GangRoom {
+impl GangHeadroom {
     /// Slots that would go with an idle machine.
-    pub(super) fn slots(&self, m: &Machine, types: &[MachineType]) -> u32 {
-        let machine_type = types.iter().find(|t| t.name == m.kind);
-        let here = m.zone == self.zone && allowed(&self.spec, &m.kind, &m.zone, m.spot);
+    pub(super) fn slots_on(&self, m: &Machine, types: &[MachineType]) -> u32 {
+        let machine_type = types.iter().find(|t| t.name == m.machine_type);
+        let here = m.zone == self.zone
+            && is_placement_allowed(&self.spec, &m.machine_type, &m.zone, m.spot);
         machine_type
             .filter(|_| here)
-            .map_or(0, |t| slots_of_type(t, &self.spec))
+            .map_or(0, |t| slots_on_empty_machine(t, &self.spec))
     }
 
     /// Whether the gang would not find room without so many of the slots.
-    pub(super) fn is_short(&self, without: u32) -> bool {
-        self.spare < self.spec.tasks + without
+    pub(super) fn is_short_without(&self, without: u32) -> bool {
+        self.free_slots < self.spec.task_count + without
     }
 }
 
 impl Leader {
     /// Room for the largest gang of late, in the zone that has most. A gang that has to wait for a
     /// boot is late; one that finds a zone with room for it is not.
-    pub(super) fn gang_room(&self, ctx: &Ctx) -> Option<GangRoom> {
-        let recent = |a: &&GangArrival| ctx.now.ms <= a.at + k::ARRIVALS_MS;
-        let gangs = self.fleet.gangs.iter().filter(recent).map(|a| &a.spec);
-        let cpus = |spec: &&JobSpec| f64::from(spec.tasks) * spec.cpus;
+    pub(super) fn gang_headroom(&self, ctx: &LeaderContext) -> Option<GangHeadroom> {
+        let recent =
+            |a: &&GangArrival| ctx.now.monotonic_ms <= a.arrived_at + k::URGENT_ARRIVAL_WINDOW_MS;
+        let gangs = self
+            .autoscaler
+            .gang_arrivals
+            .iter()
+            .filter(recent)
+            .map(|a| &a.spec);
+        let cpus = |spec: &&JobSpec| f64::from(spec.task_count) * spec.cpus;
         let spec = gangs.max_by(|a, b| cpus(a).total_cmp(&cpus(b)))?.clone();
         let mut zones: HashMap<&str, u32> = HashMap::new();
-        for id in self.roomy(ctx) {
+        for id in self.machines_with_capacity(ctx) {
             let Some(m) = self.machines.get(&id) else {
                 continue;
             };
-            let Some(free) = self.free(m) else {
+            let Some(free) = self.free_resources(m) else {
                 continue;
             };
-            if allowed(&spec, &m.kind, &m.zone, m.spot) {
-                *zones.entry(&m.zone).or_default() += slots(&free, &spec);
+            if is_placement_allowed(&spec, &m.machine_type, &m.zone, m.spot) {
+                *zones.entry(&m.zone).or_default() += slots_in(&free, &spec);
             }
         }
         let (zone, spare) = zones.into_iter().max_by_key(|(_, slots)| *slots)?;
         let zone = zone.to_owned();
-        Some(GangRoom { spec, zone, spare })
+        Some(GangHeadroom {
+            spec,
+            zone,
+            free_slots: spare,
+        })
     }
 
     /// A gang arrived.
-    pub fn gang_arrival(&mut self, now: Ms, spec: &JobSpec) {
-        let gangs = &mut self.fleet.gangs;
-        gangs.retain(|a| now <= a.at + k::ARRIVALS_MS);
+    pub fn record_gang_arrival(&mut self, now: Millis, spec: &JobSpec) {
+        let gangs = &mut self.autoscaler.gang_arrivals;
+        gangs.retain(|a| now <= a.arrived_at + k::URGENT_ARRIVAL_WINDOW_MS);
         gangs.push(GangArrival {
-            at: now,
+            arrived_at: now,
             spec: spec.clone(),
         });
     }
--- a/crates/control/src/fleet/list.rs
+++ b/crates/control/src/fleet/list.rs
@@ -1,94 +1,105 @@
 //! The cloud's list of machines: read page by page, then taken in.
-use super::FleetCall;
-use crate::api::{CallResult, Ms};
-use crate::leader::{Ctx, Leader};
-use crate::ledger::{Life, Machine};
-use crate::node::describe;
+use super::AutoscalerCall;
+use crate::api::{CallResult, Millis};
+use crate::leader::{Leader, LeaderContext};
+use crate::ledger::{Lifecycle, Machine};
+use crate::node::describe_result;
 use std::collections::HashSet;
 use stonegw_constants as k;
-use stonegw_wire::msg::{decode, ListedMachine, MachineList, MachineState};
+use stonegw_wire::msg::{decode, ListedMachine, MachineListPage, MachineState};
 
 impl Leader {
     /// Reads the list's next page when it is time.
-    pub(super) fn ask_list(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
-        if now >= self.fleet.list_at && !self.fleet.list_asked && self.may_call_cloud(now) {
-            self.fleet.list_asked = true;
+    pub(super) fn request_machine_list(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        if now >= self.autoscaler.next_list_at
+            && !self.autoscaler.is_list_in_flight
+            && self.try_take_cloud_call(now)
+        {
+            self.autoscaler.is_list_in_flight = true;
             let mut path = "/hosts?limit=500".to_owned();
-            if let Some(last) = self.fleet.listing.as_ref().and_then(|l| l.last()) {
-                path.push_str(&format!("&since={}", last.id));
+            if let Some(last) = self
+                .autoscaler
+                .partial_listing
+                .as_ref()
+                .and_then(|l| l.last())
+            {
+                path.push_str(&format!("&since={}", last.machine_id));
             }
-            ctx.ask_cloud(FleetCall::List, "GET", &path, vec![]);
+            ctx.call_cloud(AutoscalerCall::ListMachines, "GET", &path, vec![]);
         }
     }
 
     /// A page of the list came, or no answer did.
-    pub(super) fn list_done(&mut self, ctx: &Ctx, result: CallResult) {
-        let now = ctx.now.ms;
-        self.fleet.list_asked = false;
-        self.fleet.list_at = now + k::LIST_MS;
+    pub(super) fn machine_list_done(&mut self, ctx: &LeaderContext, result: CallResult) {
+        let now = ctx.now.monotonic_ms;
+        self.autoscaler.is_list_in_flight = false;
+        self.autoscaler.next_list_at = now + k::MACHINE_LIST_INTERVAL_MS;
         let page = match result {
-            Ok((200, body)) => match decode::<MachineList>(&body) {
+            Ok((200, body)) => match decode::<MachineListPage>(&body) {
                 Ok(page) => page,
                 Err(e) => return log::warn!("machine list not understood: {e}"),
             },
-            other => return log::debug!("machine list: {}", describe(&other)),
+            other => return log::debug!("machine list: {}", describe_result(&other)),
         };
-        let more = page.more && !page.machines.is_empty();
-        self.fleet
-            .listing
+        let more = page.has_more && !page.machines.is_empty();
+        self.autoscaler
+            .partial_listing
             .get_or_insert_default()
             .extend(page.machines);
         if more {
-            self.fleet.list_at = now;
+            self.autoscaler.next_list_at = now;
             return;
         }
-        let list = self.fleet.listing.take().unwrap_or_default();
-        self.fleet.known = true;
+        let list = self.autoscaler.partial_listing.take().unwrap_or_default();
+        self.autoscaler.has_full_listing = true;
         let mut present = HashSet::new();
         for listed in list {
-            present.insert(listed.id.clone());
-            if !self.deleted.contains_key(&listed.id) {
-                self.machine_listed(now, listed);
+            present.insert(listed.machine_id.clone());
+            if !self.deleted_machines.contains_key(&listed.machine_id) {
+                self.apply_listed_machine(now, listed);
             }
         }
-        self.machines_not_listed(ctx, &present);
+        self.count_absent_listings(ctx, &present);
     }
 
     /// Takes in what the list tells of one machine.
-    fn machine_listed(&mut self, now: Ms, listed: ListedMachine) {
+    fn apply_listed_machine(&mut self, now: Millis, listed: ListedMachine) {
         let age = (listed.age_s.clamp(0.0, 1e9) * 1e3) as u64;
-        self.machines.add(&listed.id, || {
-            log::info!("machine {} found in the list", listed.id);
-            let (id, machine_type) = (&listed.id, &listed.machine_type);
-            let mut m = Machine::new(id, machine_type, &listed.zone, listed.spot, now);
-            m.born = now.saturating_sub(age);
+        self.machines.add(&listed.machine_id, || {
+            log::info!("machine {} found in the list", listed.machine_id);
+            let (id, machine_type) = (&listed.machine_id, &listed.machine_type);
+            let mut m = Machine::new(id, machine_type, &listed.zone, listed.is_spot, now);
+            m.provisioned_at = now.saturating_sub(age);
             m
         });
-        let Some(mut m) = self.machines.edit(&listed.id) else {
+        let Some(mut m) = self.machines.edit(&listed.machine_id) else {
             return;
         };
-        m.listed = true;
-        m.listed_up = listed.state == MachineState::Running;
-        m.missing = 0;
+        m.was_listed = true;
+        m.listed_as_running = listed.state == MachineState::Running;
+        m.absent_listings = 0;
         if m.addr.is_none() {
             m.addr = listed.addr;
         }
-        if listed.state == MachineState::Failed && m.life != Life::Deleting {
+        if listed.state == MachineState::Failed && m.lifecycle != Lifecycle::Terminating {
             log::warn!("machine {} failed", m.id);
-            m.set_life(Life::Deleting);
+            m.set_lifecycle(Lifecycle::Terminating);
         }
     }
 
     /// Once listed, a machine stays listed until it is gone; but lists are old.
-    fn machines_not_listed(&mut self, ctx: &Ctx, present: &HashSet<String>) {
-        let now = ctx.now.ms;
-        let lag = (ctx.set.list_lag_s * 2.0 * 1e3) as u64;
+    fn count_absent_listings(&mut self, ctx: &LeaderContext, present: &HashSet<String>) {
+        let now = ctx.now.monotonic_ms;
+        let lag = (ctx.settings.cloud_listing_lag_s * 2.0 * 1e3) as u64;
         self.machines.edit_all(|m| {
-            if !present.contains(&m.id) && m.listed && now > m.known_since + lag {
-                m.missing += 1;
-                if m.missing >= 2 && m.heard.is_none() && m.life == Life::Booting {
-                    m.set_life(Life::Deleting);
+            if !present.contains(&m.id) && m.was_listed && now > m.known_since + lag {
+                m.absent_listings += 1;
+                if m.absent_listings >= 2
+                    && m.last_heartbeat_at.is_none()
+                    && m.lifecycle == Lifecycle::Provisioning
+                {
+                    m.set_lifecycle(Lifecycle::Terminating);
                 }
             }
         });
--- a/crates/control/src/fleet/mod.rs
+++ b/crates/control/src/fleet/mod.rs
@@ -1,13 +1,13 @@
 //! The fleet's state, and the order in which its parts run. What is wanted follows from the work
 //! at hand, the live catalogue and the refusals observed; names of requests carry the term and
 //! are never reused.
-use crate::api::Ms;
-use crate::leader::{Ctx, Leader, Stage};
+use crate::api::Millis;
+use crate::leader::{Leader, LeaderContext, Stage};
 use crate::pause::Pause;
-use crate::settings::Bucket;
+use crate::settings::TokenBucket;
 use std::collections::{HashMap, VecDeque};
 use stonegw_constants as k;
-use stonegw_wire::msg::{Hire, JobSpec, ListedMachine};
+use stonegw_wire::msg::{JobSpec, ListedMachine, ProvisionRequest};
 
 mod calls;
 mod catalog;
@@ -23,39 +23,39 @@
 
 /// A call to the cloud that is under way.
 #[derive(Debug)]
-pub enum FleetCall {
+pub enum AutoscalerCall {
     /// Reads the catalogue.
-    Catalog,
+    ReadCatalog,
     /// Reads a page of the machine list.
-    List,
+    ListMachines,
     /// Rents: the number of the rental.
-    Hire(u64),
+    Provision(u64),
     /// Returns these machines.
-    Delete(Vec<String>),
+    Terminate(Vec<String>),
 }
 
 /// Whether a rental waits to be asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum HireState {
+enum ProvisionState {
     /// To be sent at this time or later.
-    Due { at: Ms },
+    Due { not_before: Millis },
     /// Sent, not answered.
     Sent,
 }
 
 /// A rental that the cloud has not granted or refused.
 #[derive(Debug)]
-struct Renting {
+struct PendingProvision {
     number: u64,
-    hire: Hire,
-    state: HireState,
+    request: ProvisionRequest,
+    state: ProvisionState,
     /// An answer may be lost: the same request must be repeated until one comes.
-    doubt: bool,
+    is_unacknowledged: bool,
 }
 
 /// What the cloud rents out: a machine type in a zone, spot or not.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Offer {
+struct MachineOffer {
     machine_type: String,
     zone: String,
     spot: bool,
@@ -63,24 +63,24 @@
 
 /// What follows from the cloud's refusal of an offer.
 #[derive(Clone, Copy, Debug)]
-struct Refusal {
+struct OfferBackoff {
     /// Not asked for before.
-    until: Ms,
+    retry_at: Millis,
     /// How long the wait was; the next one is longer.
-    wait_ms: u64,
+    backoff_ms: u64,
 }
 
 /// A gang that arrived of late.
 #[derive(Clone, Debug)]
 struct GangArrival {
-    at: Ms,
+    arrived_at: Millis,
     spec: JobSpec,
 }
 
 /// A job with a deadline that arrived of late.
 #[derive(Clone, Copy, Debug)]
-struct DatedArrival {
-    at: Ms,
+struct DeadlineArrival {
+    arrived_at: Millis,
     /// CPU-seconds of all of its tasks.
     cpu_seconds: f64,
     /// How long one of its tasks runs.
@@ -88,66 +88,75 @@
 }
 
 /// What the leader holds about the cloud and the machines it has asked for.
-pub struct Fleet {
+pub struct Autoscaler {
     term: u64,
     /// When the size is decided next.
-    decide_at: Ms,
-    list_at: Ms,
+    next_sizing_at: Millis,
+    next_list_at: Millis,
     /// The pages read so far of a list that is being read.
-    listing: Option<Vec<ListedMachine>>,
+    partial_listing: Option<Vec<ListedMachine>>,
     /// A whole list has come.
-    known: bool,
-    list_asked: bool,
-    catalog_at: Ms,
-    catalog_asked: bool,
+    has_full_listing: bool,
+    is_list_in_flight: bool,
+    next_catalog_at: Millis,
+    is_catalog_in_flight: bool,
     /// The cloud wants no calls before.
-    pause_until: Ms,
-    budget: Option<Bucket>,
+    calls_paused_until: Millis,
+    call_budget: Option<TokenBucket>,
     /// The number of the latest rental.
-    next_hire: u64,
-    renting: Vec<Renting>,
-    refused: HashMap<Offer, Refusal>,
+    last_provision_number: u64,
+    pending_provisions: Vec<PendingProvision>,
+    offer_backoffs: HashMap<MachineOffer, OfferBackoff>,
     /// The latest urgent service seen, the size that spare room is kept for.
-    pub usual: Option<JobSpec>,
+    pub reference_task: Option<JobSpec>,
     /// When urgent services arrived of late.
-    arrivals: VecDeque<Ms>,
+    urgent_arrivals: VecDeque<Millis>,
     /// When urgent services ended of late.
-    departures: VecDeque<Ms>,
-    gangs: Vec<GangArrival>,
-    dated: VecDeque<DatedArrival>,
+    urgent_departures: VecDeque<Millis>,
+    gang_arrivals: Vec<GangArrival>,
+    deadline_arrivals: VecDeque<DeadlineArrival>,
 }
 
-impl Fleet {
+impl Autoscaler {
     /// The fleet of a new leader, that knows of no machine.
-    pub fn new(term: u64, now: Ms) -> Fleet {
-        Fleet {
+    pub fn new(term: u64, now: Millis) -> Autoscaler {
+        Autoscaler {
             term,
-            decide_at: now,
-            list_at: now,
-            listing: None,
-            known: false,
-            list_asked: false,
-            catalog_at: now + k::CATALOG_MS,
-            catalog_asked: false,
-            pause_until: 0,
-            budget: None,
-            next_hire: 0,
-            renting: vec![],
-            refused: HashMap::new(),
-            usual: None,
-            arrivals: VecDeque::new(),
-            departures: VecDeque::new(),
-            gangs: vec![],
-            dated: VecDeque::new(),
+            next_sizing_at: now,
+            next_list_at: now,
+            partial_listing: None,
+            has_full_listing: false,
+            is_list_in_flight: false,
+            next_catalog_at: now + k::CATALOG_READ_INTERVAL_MS,
+            is_catalog_in_flight: false,
+            calls_paused_until: 0,
+            call_budget: None,
+            last_provision_number: 0,
+            pending_provisions: vec![],
+            offer_backoffs: HashMap::new(),
+            reference_task: None,
+            urgent_arrivals: VecDeque::new(),
+            urgent_departures: VecDeque::new(),
+            gang_arrivals: vec![],
+            deadline_arrivals: VecDeque::new(),
         }
     }
 
     /// The process ran again after a pause: nothing arrived or ended in it as far as we know, so that the rates
     /// leave it out.
     pub fn resume(&mut self, pause: Pause) {
-        let services = self.arrivals.iter_mut().chain(&mut self.departures);
-        let dated = self.dated.iter_mut().map(|arrival| &mut arrival.at);
-        let gangs = self.gangs.iter_mut().map(|arrival| &mut arrival.at);
+        let services = self
+            .urgent_arrivals
+            .iter_mut()
+            .chain(&mut self.urgent_departures);
+        let dated = self
+            .deadline_arrivals
+            .iter_mut()
+            .map(|arrival| &mut arrival.arrived_at);
+        let gangs = self
+            .gang_arrivals
+            .iter_mut()
+            .map(|arrival| &mut arrival.arrived_at);
         services
             .chain(dated)
             .chain(gangs)
@@ -157,35 +166,40 @@
 
 impl Leader {
     /// Decides on the fleet's size when it is time, and makes the calls that are due.
-    pub fn run_fleet(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
-        if self.fleet.budget.is_none() {
-            let rps = ctx.set.cloud_rps;
-            self.fleet.budget = Some(Bucket::new(rps * 0.8, (rps * 1.6).max(1.0)));
+    pub fn run_autoscaler(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        if self.autoscaler.call_budget.is_none() {
+            let rps = ctx.settings.cloud_requests_per_s;
+            self.autoscaler.call_budget = Some(TokenBucket::new(rps * 0.8, (rps * 1.6).max(1.0)));
         }
         let active = self.stage == Stage::Active;
         // A leader without predecessors need not hear the machines to know that more are wanted:
         // a list tells of them, and every second of the first boots counts.
-        if now >= self.fleet.decide_at && (active || self.first && self.fleet.known) {
-            self.fleet.decide_at = now + k::FLEET_MS;
+        if now >= self.autoscaler.next_sizing_at
+            && (active || self.is_first_leader && self.autoscaler.has_full_listing)
+        {
+            self.autoscaler.next_sizing_at = now + k::AUTOSCALER_INTERVAL_MS;
             if active {
-                self.return_idle(ctx);
+                self.scale_in_idle(ctx);
             }
             self.decide_size(ctx);
         }
-        if now < self.fleet.pause_until {
+        if now < self.autoscaler.calls_paused_until {
             return;
         }
         if active {
-            self.delete_machines(ctx);
+            self.terminate_machines(ctx);
         }
-        self.send_rental(ctx);
-        self.ask_list(ctx);
-        self.ask_catalog(ctx);
+        self.send_provision(ctx);
+        self.request_machine_list(ctx);
+        self.request_catalog(ctx);
     }
 
     /// Whether one more call to the cloud may go out now.
-    fn may_call_cloud(&mut self, now: Ms) -> bool {
-        self.fleet.budget.as_mut().is_some_and(|b| b.take(now, 1.0))
+    fn try_take_cloud_call(&mut self, now: Millis) -> bool {
+        self.autoscaler
+            .call_budget
+            .as_mut()
+            .is_some_and(|b| b.try_take(now, 1.0))
     }
 }
--- a/crates/control/src/fleet/rent.rs
+++ b/crates/control/src/fleet/rent.rs
@@ -1,123 +1,129 @@
 //! Renting: rentals are queued, sent one at a time, and repeated until they are answered.
-use super::{FleetCall, HireState, Offer, Refusal, Renting};
-use crate::api::{CallError, CallResult, Ms};
-use crate::leader::{Ctx, Leader};
+use super::{AutoscalerCall, MachineOffer, OfferBackoff, PendingProvision, ProvisionState};
+use crate::api::{CallError, CallResult, Millis};
+use crate::leader::{Leader, LeaderContext};
 use crate::ledger::Machine;
-use crate::node::describe;
+use crate::node::describe_result;
 use std::collections::BTreeMap;
 use stonegw_constants as k;
-use stonegw_wire::msg::{decode, encode, ErrorBody, Hire, Machines};
+use stonegw_wire::msg::{decode, encode, ErrorBody, MachineIds, ProvisionRequest};
 
 impl Leader {
     /// Queues the rentals in the order of their offers, in requests of limited size: a trace plays the
     /// same each time.
-    pub(super) fn queue_rentals(&mut self, now: Ms, rentals: BTreeMap<Offer, u32>) {
+    pub(super) fn queue_provisions(&mut self, now: Millis, rentals: BTreeMap<MachineOffer, u32>) {
         for (offer, mut left) in rentals {
-            let Offer {
+            let MachineOffer {
                 machine_type,
                 zone,
                 spot,
             } = offer;
             log::info!("renting {left} {machine_type} in {zone}, spot {spot}");
             while left > 0 {
-                let count = left.min(k::HIRE_MAX);
+                let count = left.min(k::MAX_MACHINES_PER_PROVISION);
                 left -= count;
-                self.fleet.next_hire += 1;
-                let number = self.fleet.next_hire;
-                self.fleet.renting.push(Renting {
+                self.autoscaler.last_provision_number += 1;
+                let number = self.autoscaler.last_provision_number;
+                self.autoscaler.pending_provisions.push(PendingProvision {
                     number,
-                    hire: Hire {
-                        request: format!("t{}-{}", self.fleet.term, number),
+                    request: ProvisionRequest {
+                        request_id: format!("t{}-{}", self.autoscaler.term, number),
                         machine_type: machine_type.clone(),
                         zone: zone.clone(),
-                        spot,
+                        is_spot: spot,
                         count,
                     },
-                    state: HireState::Due { at: now },
-                    doubt: false,
+                    state: ProvisionState::Due { not_before: now },
+                    is_unacknowledged: false,
                 });
             }
         }
     }
 
     /// Sends the first rental that is due.
-    pub(super) fn send_rental(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
-        let due = self
-            .fleet
-            .renting
-            .iter()
-            .position(|r| matches!(r.state, HireState::Due { at } if now >= at));
+    pub(super) fn send_provision(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        let due = self.autoscaler.pending_provisions.iter().position(
+            |r| matches!(r.state, ProvisionState::Due { not_before } if now >= not_before),
+        );
         let Some(at) = due else { return };
-        if !self.may_call_cloud(now) {
+        if !self.try_take_cloud_call(now) {
             return;
         }
-        let renting = &mut self.fleet.renting[at];
-        renting.state = HireState::Sent;
-        let (number, body) = (renting.number, encode(&renting.hire));
-        ctx.ask_cloud(FleetCall::Hire(number), "POST", "/hosts", body);
+        let renting = &mut self.autoscaler.pending_provisions[at];
+        renting.state = ProvisionState::Sent;
+        let (number, body) = (renting.number, encode(&renting.request));
+        ctx.call_cloud(AutoscalerCall::Provision(number), "POST", "/hosts", body);
     }
 
     /// A rental was answered, or no answer came.
-    pub(super) fn rental_done(&mut self, now: Ms, number: u64, result: CallResult) {
-        let Some(at) = self.fleet.renting.iter().position(|r| r.number == number) else {
+    pub(super) fn provision_done(&mut self, now: Millis, number: u64, result: CallResult) {
+        let Some(at) = self
+            .autoscaler
+            .pending_provisions
+            .iter()
+            .position(|r| r.number == number)
+        else {
             return;
         };
         let offer = {
-            let hire = &self.fleet.renting[at].hire;
-            Offer {
+            let hire = &self.autoscaler.pending_provisions[at].request;
+            MachineOffer {
                 machine_type: hire.machine_type.clone(),
                 zone: hire.zone.clone(),
-                spot: hire.spot,
+                spot: hire.is_spot,
             }
         };
         match result {
-            Ok((200, body)) => self.rental_granted(now, at, offer, &body),
-            Ok((503, body)) if !self.fleet.renting[at].doubt && no_capacity(&body) => {
+            Ok((200, body)) => self.provision_granted(now, at, offer, &body),
+            Ok((503, body))
+                if !self.autoscaler.pending_provisions[at].is_unacknowledged
+                    && is_no_capacity_error(&body) =>
+            {
                 let key = (&offer.machine_type, &offer.zone, offer.spot);
                 log::info!("no capacity for {key:?}");
-                self.fleet.renting.remove(at);
-                self.refuse(now, offer);
+                self.autoscaler.pending_provisions.remove(at);
+                self.back_off_offer(now, offer);
             }
             Ok((400, _)) => {
                 let key = (&offer.machine_type, &offer.zone, offer.spot);
                 log::error!("rental {key:?} called malformed");
-                self.fleet.renting.remove(at);
-                self.refuse(now, offer);
+                self.autoscaler.pending_provisions.remove(at);
+                self.back_off_offer(now, offer);
             }
             // A refusal after an unanswered try answers for the try as well.
-            Ok((503, body)) if no_capacity(&body) => {
-                self.fleet.renting.remove(at);
-                self.refuse(now, offer);
+            Ok((503, body)) if is_no_capacity_error(&body) => {
+                self.autoscaler.pending_provisions.remove(at);
+                self.back_off_offer(now, offer);
             }
             other => {
-                let renting = &mut self.fleet.renting[at];
-                renting.doubt |= matches!(other, Err(CallError::Unknown));
-                renting.state = HireState::Due {
-                    at: now + k::CLOUD_RETRY_MS,
+                let renting = &mut self.autoscaler.pending_provisions[at];
+                renting.is_unacknowledged |= matches!(other, Err(CallError::OutcomeUnknown));
+                renting.state = ProvisionState::Due {
+                    not_before: now + k::CLOUD_RETRY_BACKOFF_MS,
                 };
-                log::debug!("rental: {}", describe(&other));
+                log::debug!("rental: {}", describe_result(&other));
             }
         }
     }
 
     /// The cloud rented out some machines, perhaps fewer than asked for.
-    fn rental_granted(&mut self, now: Ms, at: usize, offer: Offer, body: &[u8]) {
-        let Ok(answer) = decode::<Machines>(body) else {
+    fn provision_granted(&mut self, now: Millis, at: usize, offer: MachineOffer, body: &[u8]) {
+        let Ok(answer) = decode::<MachineIds>(body) else {
             log::warn!("rental answer not understood");
-            self.fleet.renting[at].state = HireState::Due {
-                at: now + k::CLOUD_RETRY_MS,
+            self.autoscaler.pending_provisions[at].state = ProvisionState::Due {
+                not_before: now + k::CLOUD_RETRY_BACKOFF_MS,
             };
             return;
         };
-        let renting = self.fleet.renting.remove(at);
-        if (answer.machines.len() as u32) < renting.hire.count {
-            self.refuse(now, offer.clone());
+        let renting = self.autoscaler.pending_provisions.remove(at);
+        if (answer.machine_ids.len() as u32) < renting.request.count {
+            self.back_off_offer(now, offer.clone());
         } else {
-            self.fleet.refused.remove(&offer);
+            self.autoscaler.offer_backoffs.remove(&offer);
         }
-        for id in answer.machines {
-            if !self.deleted.contains_key(&id) {
+        for id in answer.machine_ids {
+            if !self.deleted_machines.contains_key(&id) {
                 self.machines.add(&id, || {
                     Machine::new(&id, &offer.machine_type, &offer.zone, offer.spot, now)
                 });
@@ -126,18 +132,26 @@
     }
 
     /// The offer is not asked for again for a while, each time for longer.
-    fn refuse(&mut self, now: Ms, offer: Offer) {
+    fn back_off_offer(&mut self, now: Millis, offer: MachineOffer) {
         let wait_ms = self
-            .fleet
-            .refused
+            .autoscaler
+            .offer_backoffs
             .get(&offer)
-            .map_or(k::REFUSED_MS, |r| (r.wait_ms * 2).min(k::REFUSED_MAX_MS));
+            .map_or(k::PROVISION_BACKOFF_MS, |r| {
+                (r.backoff_ms * 2).min(k::PROVISION_BACKOFF_MAX_MS)
+            });
         let until = now + wait_ms;
-        self.fleet.refused.insert(offer, Refusal { until, wait_ms });
+        self.autoscaler.offer_backoffs.insert(
+            offer,
+            OfferBackoff {
+                retry_at: until,
+                backoff_ms: wait_ms,
+            },
+        );
     }
 }
 
 /// Whether the cloud's error says that it has no such machine left.
-fn no_capacity(body: &[u8]) -> bool {
+fn is_no_capacity_error(body: &[u8]) -> bool {
     decode::<ErrorBody>(body).is_ok_and(|e| e.error.contains("capacity"))
 }
--- a/crates/control/src/gang/mod.rs
+++ b/crates/control/src/gang/mod.rs
@@ -7,9 +7,9 @@
 //! in `Work::pending`: nothing that places single tasks can take one of them.
 //!
 //! `place` chooses machines and places an attempt whole, `reserve` keeps or makes room for one.
-use crate::api::Ms;
-use crate::leader::{Ctx, Leader};
-use crate::ledger::{Phase, Work};
+use crate::api::Millis;
+use crate::leader::{Leader, LeaderContext};
+use crate::ledger::{JobState, Phase};
 use crate::pause::Pause;
 use std::collections::BTreeSet;
 use stonegw_constants as k;
@@ -17,7 +17,7 @@
 mod place;
 mod reserve;
 
-pub use reserve::Reservation;
+pub use reserve::GangReservation;
 
 /// The life of a gang.
 ///
@@ -30,9 +30,9 @@
     /// An attempt's placements are being stored; nothing of it has been sent.
     Storing { attempt: u64 },
     /// All placements are stored. Its tasks are started, fetch their image and wait for each other.
-    Gathering { attempt: u64 },
+    Starting { attempt: u64 },
     /// All its tasks were seen running.
-    Running { attempt: u64, since: Ms },
+    Running { attempt: u64, running_since: Millis },
     /// The attempt is over or being stopped; some of its tasks are not proven gone.
     Ending,
 }
@@ -42,29 +42,29 @@
 pub struct Gang {
     pub state: GangState,
     /// The pruner dropped it: it runs in leftover room.
-    pub dropped: bool,
+    pub is_dropped: bool,
     /// When its last attempt had ended.
-    ended_at: Option<Ms>,
+    last_attempt_ended_at: Option<Millis>,
     /// Attempts that this leader began.
-    attempts: u32,
+    attempts_begun: u32,
     /// A pause of this process fell into its run: how long it takes is not known.
-    run_untimed: bool,
+    is_run_untimed: bool,
     /// Since when room is reserved for it.
-    reserved_since: Option<Ms>,
+    reserved_since: Option<Millis>,
     /// No room is reserved for it before.
-    reserve_after: Ms,
+    reservation_allowed_at: Millis,
 }
 
 impl Default for Gang {
     fn default() -> Self {
         Gang {
             state: GangState::Waiting,
-            dropped: false,
-            ended_at: None,
-            attempts: 0,
-            run_untimed: false,
+            is_dropped: false,
+            last_attempt_ended_at: None,
+            attempts_begun: 0,
+            is_run_untimed: false,
             reserved_since: None,
-            reserve_after: 0,
+            reservation_allowed_at: 0,
         }
     }
 }
@@ -72,13 +72,17 @@
 impl Gang {
     /// The leader's process ran again after a pause: its waits go on from here.
     pub fn resume(&mut self, pause: Pause) {
-        if let GangState::Running { since, .. } = &mut self.state {
+        if let GangState::Running {
+            running_since: since,
+            ..
+        } = &mut self.state
+        {
             pause.shift(since);
-            self.run_untimed = true;
+            self.is_run_untimed = true;
         }
-        pause.shift_some(&mut self.ended_at);
-        pause.shift_some(&mut self.reserved_since);
-        pause.shift(&mut self.reserve_after);
+        pause.shift_if_set(&mut self.last_attempt_ended_at);
+        pause.shift_if_set(&mut self.reserved_since);
+        pause.shift(&mut self.reservation_allowed_at);
     }
 
     /// The one place where a gang's state changes.
@@ -92,55 +96,55 @@
 
 /// A task of a gang that may be on a machine.
 #[derive(Clone, Debug)]
-struct Member {
+struct GangMember {
     machine: String,
     index: u32,
     attempt: u64,
     phase: Phase,
-    stopping: bool,
+    is_stopping: bool,
 }
 
 /// The state that follows from what is known of the tasks.
-fn next_state(now: Ms, state: GangState, members: &[Member], tasks: u32) -> GangState {
+fn next_gang_state(now: Millis, state: GangState, members: &[GangMember], tasks: u32) -> GangState {
     let Some(attempt) = members.iter().map(|m| m.attempt).max() else {
         return GangState::Waiting;
     };
     let current = members
         .iter()
-        .filter(|m| m.attempt == attempt && !m.stopping);
+        .filter(|m| m.attempt == attempt && !m.is_stopping);
     let indexes: BTreeSet<u32> = current.clone().map(|m| m.index).collect();
     if indexes.len() < tasks as usize {
         return GangState::Ending;
     }
-    if current.clone().any(|m| m.phase == Phase::New) {
+    if current.clone().any(|m| m.phase == Phase::Unstored) {
         return GangState::Storing { attempt };
     }
     if current.clone().any(|m| m.phase != Phase::Running) {
-        return GangState::Gathering { attempt };
+        return GangState::Starting { attempt };
     }
     match state {
         GangState::Running { attempt: a, .. } if a == attempt => state,
         _ => GangState::Running {
             attempt,
-            since: now,
+            running_since: now,
         },
     }
 }
 
 impl Leader {
     /// A gang's tasks that may be on machines, of any attempt.
-    fn members(&self, job: &str) -> Vec<Member> {
+    fn gang_members(&self, job: &str) -> Vec<GangMember> {
         let mut members = vec![];
-        for id in self.machines.of_job(job) {
+        for id in self.machines.machines_of_job(job) {
             let placements = self.machines.get(&id).into_iter();
             let placements = placements.flat_map(|m| &m.placements);
-            for p in placements.filter(|p| p.job == job && p.present()) {
-                members.push(Member {
+            for p in placements.filter(|p| p.job == job && p.is_present()) {
+                members.push(GangMember {
                     machine: id.clone(),
                     index: p.index,
                     attempt: p.attempt,
                     phase: p.phase,
-                    stopping: p.stop.is_some(),
+                    is_stopping: p.stop_grace_s.is_some(),
                 });
             }
         }
@@ -148,57 +152,57 @@
     }
 
     /// Takes every gang to the state that follows from its tasks.
-    pub fn advance_gangs(&mut self, ctx: &Ctx) {
-        let now = ctx.now.ms;
-        if !self.gangs_changed && now < self.gangs_at {
+    pub fn advance_gangs(&mut self, ctx: &LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        if !self.gangs_changed && now < self.next_gang_check_at {
             return;
         }
         self.gangs_changed = false;
-        self.gangs_at = now + k::GANG_CHECK_MS;
-        let gangs = self.works.iter().filter(|(_, w)| w.gang.is_some());
+        self.next_gang_check_at = now + k::GANG_CHECK_INTERVAL_MS;
+        let gangs = self.jobs.iter().filter(|(_, w)| w.gang.is_some());
         let gangs: Vec<String> = gangs.map(|(id, _)| id.clone()).collect();
         for job in gangs {
             self.advance_gang(ctx, &job);
         }
     }
 
-    fn advance_gang(&mut self, ctx: &Ctx, job: &str) {
-        let now = ctx.now.ms;
-        let members = self.members(job);
-        let Some(work) = self.works.get_mut(job) else {
+    fn advance_gang(&mut self, ctx: &LeaderContext, job: &str) {
+        let now = ctx.now.monotonic_ms;
+        let members = self.gang_members(job);
+        let Some(work) = self.jobs.get_mut(job) else {
             return;
         };
-        let tasks = work.spec.tasks;
+        let tasks = work.spec.task_count;
         let done = work.done_count == tasks;
         let Some(gang) = &mut work.gang else { return };
         let before = gang.state;
-        let next = next_state(now, before, &members, tasks);
+        let next = next_gang_state(now, before, &members, tasks);
         gang.set_state(job, next);
         match next {
             // What is done has only to be stored; its last tasks are about to exit.
             _ if done => {}
             GangState::Waiting if before != GangState::Waiting => {
-                gang.ended_at = Some(now);
-                self.wake = true;
+                gang.last_attempt_ended_at = Some(now);
+                self.scheduling_needed = true;
             }
             GangState::Waiting | GangState::Storing { .. } => {}
-            GangState::Gathering { attempt } => {
-                self.release(job, attempt, &members);
-                if self.leaving_soon(ctx, job, &members) {
+            GangState::Starting { attempt } => {
+                self.mark_startable(job, attempt, &members);
+                if self.is_eviction_imminent(ctx, job, &members) {
                     self.stop_gang(ctx, job);
                 }
             }
             GangState::Running { .. } => {
-                if self.saves(job) && self.leaving_soon(ctx, job, &members) {
+                if self.can_checkpoint(job) && self.is_eviction_imminent(ctx, job, &members) {
                     self.stop_gang(ctx, job);
                 }
             }
-            GangState::Ending => self.stop_members(&members, job, 0.0),
+            GangState::Ending => self.stop_gang_members(&members, job, 0.0),
         }
     }
 
     /// All placements of the attempt are stored: its `run` commands may go out.
-    fn release(&mut self, job: &str, attempt: u64, members: &[Member]) {
+    fn mark_startable(&mut self, job: &str, attempt: u64, members: &[GangMember]) {
         for member in members.iter().filter(|m| m.phase == Phase::Stored) {
             let Some(mut machine) = self.machines.edit(&member.machine) else {
                 continue;
@@ -207,85 +211,92 @@
                 .placements
                 .iter_mut()
                 .filter(|p| p.job == job && p.attempt == attempt && p.phase == Phase::Stored);
-            of_attempt.for_each(|p| p.set_phase(Phase::Ready));
+            of_attempt.for_each(|p| p.set_phase(Phase::Startable));
         }
     }
 
     /// Whether a machine of the gang is taken away so soon that its tasks have to save now.
-    fn leaving_soon(&self, ctx: &Ctx, job: &str, members: &[Member]) -> bool {
-        let Some(work) = self.works.get(job) else {
+    fn is_eviction_imminent(&self, ctx: &LeaderContext, job: &str, members: &[GangMember]) -> bool {
+        let Some(work) = self.jobs.get(job) else {
             return false;
         };
-        let stop_s = work.spec.save_s + ctx.set.gang_peer_s + k::WIND_DOWN_MARGIN_S;
-        let last_moment = ctx.now.ms + (stop_s * 1e3) as Ms;
+        let stop_s = work.spec.checkpoint_duration_s
+            + ctx.settings.gang_loss_detection_s
+            + k::STOP_GRACE_MARGIN_S;
+        let last_moment = ctx.now.monotonic_ms + (stop_s * 1e3) as Millis;
         let mut machines = members.iter().filter_map(|m| self.machines.get(&m.machine));
-        machines.any(|m| m.notice.is_some_and(|gone_at| last_moment >= gone_at))
+        machines.any(|m| m.eviction_at.is_some_and(|gone_at| last_moment >= gone_at))
     }
 
-    fn saves(&self, job: &str) -> bool {
-        let work = self.works.get(job);
-        work.is_some_and(|w| w.spec.checkpoint_s > 0.0)
+    fn can_checkpoint(&self, job: &str) -> bool {
+        let work = self.jobs.get(job);
+        work.is_some_and(|w| w.spec.checkpoint_interval_s > 0.0)
     }
 
     /// Stops the whole gang. Where every machine of it can be reached its tasks save.
-    pub fn stop_gang(&mut self, ctx: &Ctx, job: &str) {
-        let members = self.members(job);
-        let Some(work) = self.works.get(job) else {
+    pub fn stop_gang(&mut self, ctx: &LeaderContext, job: &str) {
+        let members = self.gang_members(job);
+        let Some(work) = self.jobs.get(job) else {
             return;
         };
         let running = work
             .gang
             .as_ref()
             .is_some_and(|g| matches!(g.state, GangState::Running { .. }));
-        let saves = running && self.saves(job) && self.all_reachable(ctx, &members);
+        let saves = running && self.can_checkpoint(job) && self.are_all_reachable(ctx, &members);
         let grace_s = if saves {
-            work.spec.save_s + k::WIND_DOWN_MARGIN_S
+            work.spec.checkpoint_duration_s + k::STOP_GRACE_MARGIN_S
         } else {
             0.0
         };
         log::info!("gang {job} is stopped, {grace_s} s to save");
-        self.stop_members(&members, job, grace_s);
+        self.stop_gang_members(&members, job, grace_s);
         self.gangs_changed = true;
     }
 
     /// Whether a command to each of these machines would most likely arrive at once. A stop that
     /// reaches only some of a gang's tasks in time saves nothing.
-    fn all_reachable(&self, ctx: &Ctx, members: &[Member]) -> bool {
+    fn are_all_reachable(&self, ctx: &LeaderContext, members: &[GangMember]) -> bool {
         members.iter().all(|member| {
             self.machines.get(&member.machine).is_some_and(|m| {
-                let heard = !m.quiet(ctx.now.ms, ctx.set.report_s) && !m.via_state && m.under_token;
-                heard && m.trusted() && m.do_open.is_none() && m.addr.is_some()
+                let heard = !m.is_silent(ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_s)
+                    && !m.via_store
+                    && m.under_current_term;
+                heard && m.is_trusted() && m.command_in_flight.is_none() && m.addr.is_some()
             })
         })
     }
 
-    fn stop_members(&mut self, members: &[Member], job: &str, grace_s: f64) {
-        for member in members.iter().filter(|m| !m.stopping) {
+    fn stop_gang_members(&mut self, members: &[GangMember], job: &str, grace_s: f64) {
+        for member in members.iter().filter(|m| !m.is_stopping) {
             let Some(mut machine) = self.machines.edit(&member.machine) else {
                 continue;
             };
             let of_gang = machine
                 .placements
                 .iter_mut()
-                .filter(|p| p.job == job && p.present());
+                .filter(|p| p.job == job && p.is_present());
             of_gang.for_each(|p| {
-                p.stop.get_or_insert(grace_s);
+                p.stop_grace_s.get_or_insert(grace_s);
             });
         }
     }
 
     /// One task of a gang was done, so all are: they complete together. The gang counts as one
     /// observation of its run time, and only if all of the run was seen.
-    pub fn finish_gang(&mut self, now: Ms, job: &str, machine_type: &str) {
-        let Some(work) = self.works.get_mut(job) else {
+    pub fn finish_gang(&mut self, now: Millis, job: &str, machine_type: &str) {
+        let Some(work) = self.jobs.get_mut(job) else {
             return;
         };
-        for index in 0..work.spec.tasks {
-            work.done.set(index);
+        for index in 0..work.spec.task_count {
+            work.done_tasks.set(index);
         }
-        work.done_count = work.spec.tasks;
+        work.done_count = work.spec.task_count;
         let first_attempt_run = work.gang.as_ref().and_then(|gang| match gang.state {
-            GangState::Running { attempt, since } if gang.attempts == 1 && !gang.run_untimed => {
+            GangState::Running {
+                attempt,
+                running_since: since,
+            } if gang.attempts_begun == 1 && !gang.is_run_untimed => {
                 let ours = attempt / k::ATTEMPTS_PER_TERM == self.term;
                 ours.then(|| now.saturating_sub(since) as f64 / 1e3)
             }
@@ -293,24 +304,26 @@
         });
         if let Some(run_s) = first_attempt_run {
             let spec = work.spec.clone();
-            self.sched.record(&spec, machine_type, run_s);
+            self.scheduler.record_run(&spec, machine_type, run_s);
         }
-        self.due.insert(job.to_owned());
+        self.jobs_to_store.insert(job.to_owned());
     }
 }
 
-impl Work {
+impl JobState {
     /// Whether it is a gang that can be placed, as far as its tasks are concerned.
-    pub fn gang_waits(&self) -> bool {
+    pub fn is_gang_waiting(&self) -> bool {
         let waiting = |g: &Gang| g.state == GangState::Waiting;
-        !self.ending && self.done_count < self.spec.tasks && self.gang.as_ref().is_some_and(waiting)
+        !self.end_write_in_flight
+            && self.done_count < self.spec.task_count
+            && self.gang.as_ref().is_some_and(waiting)
     }
 
     /// How long a waiting gang has waited.
-    fn gang_waited_ms(&self, ctx: &Ctx) -> Ms {
-        let ended_at = self.gang.as_ref().and_then(|g| g.ended_at);
-        let age = ctx.now.wall_ms.saturating_sub(self.at);
-        ended_at.map_or(age, |at| ctx.now.ms.saturating_sub(at))
+    fn gang_waited_ms(&self, ctx: &LeaderContext) -> Millis {
+        let ended_at = self.gang.as_ref().and_then(|g| g.last_attempt_ended_at);
+        let age = ctx.now.wall_ms.saturating_sub(self.submitted_at_ms);
+        ended_at.map_or(age, |at| ctx.now.monotonic_ms.saturating_sub(at))
     }
 }
 
--- a/crates/control/src/gang/place.rs
+++ b/crates/control/src/gang/place.rs
@@ -1,98 +1,100 @@
 //! Choosing machines for a gang, and placing it whole.
 use super::GangState;
-use crate::leader::{Ctx, Leader};
-use crate::ledger::{Machine, Work};
+use crate::leader::{Leader, LeaderContext};
+use crate::ledger::{JobState, Machine};
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use stonegw_constants as k;
-use stonegw_sched::pruner::{Pruner, Toggle};
+use stonegw_sched::pruner::{OverloadToggle, Pruner};
 use stonegw_wire::msg::Priority;
 
 /// So many tasks of a gang on one machine.
 #[derive(Clone, Debug, PartialEq)]
-struct Share {
+struct MachineAllocation {
     machine: String,
     tasks: u32,
 }
 
 /// Machines for a whole gang, and how good a choice they are; less is better.
-struct Plan {
-    shares: Vec<Share>,
+struct GangPlacement {
+    allocations: Vec<MachineAllocation>,
     /// Some of it is reserved for gangs of lower priority.
-    reserved: bool,
+    uses_reserved: bool,
     /// s until the last task has its image, in whole seconds.
-    fetch_s: i64,
-    price: f64,
+    image_fetch_s: i64,
+    total_price: f64,
 }
 
-impl Plan {
-    fn beats(&self, other: &Plan) -> bool {
-        let key = |p: &Plan| (p.reserved, p.fetch_s, p.shares.len());
-        (key(self), self.price) < (key(other), other.price)
+impl GangPlacement {
+    fn is_better_than(&self, other: &GangPlacement) -> bool {
+        let key = |p: &GangPlacement| (p.uses_reserved, p.image_fetch_s, p.allocations.len());
+        (key(self), self.total_price) < (key(other), other.total_price)
     }
 }
 
 /// A machine with room for some tasks of a gang.
-struct Candidate {
+struct GangCandidate {
     machine: String,
     zone: String,
     /// For a gang of lower priority.
-    reserved: bool,
+    is_reserved: bool,
     slots: u32,
-    fetch_s: i64,
-    price: f64,
+    image_fetch_s: i64,
+    price_per_cpu: f64,
 }
 
 /// The design's class of a waiting gang.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Turn {
+enum PlacementPolicy {
     /// No deadline, late, dropped, or without a start for long: leftover room will do.
-    Leftover,
+    FirstFit,
     /// Its chance decides, in the mapping.
-    Dated { due_s: f64 },
+    DeadlineConstrained { due_s: f64 },
 }
 
-impl Work {
-    fn gang_turn(&self, ctx: &Ctx) -> Turn {
-        let dropped = self.gang.as_ref().is_some_and(|g| g.dropped);
-        let waited_long = self.gang_waited_ms(ctx) >= k::PUT_OFF_MS;
-        match self.due_s(ctx.now.wall_ms) {
-            Some(due_s) if due_s > 0.0 && !dropped && !waited_long => Turn::Dated { due_s },
-            _ => Turn::Leftover,
+impl JobState {
+    fn gang_placement_policy(&self, ctx: &LeaderContext) -> PlacementPolicy {
+        let dropped = self.gang.as_ref().is_some_and(|g| g.is_dropped);
+        let waited_long = self.gang_waited_ms(ctx) >= k::DEFERRED_PLACEMENT_MS;
+        match self.seconds_to_deadline(ctx.now.wall_ms) {
+            Some(due_s) if due_s > 0.0 && !dropped && !waited_long => {
+                PlacementPolicy::DeadlineConstrained { due_s }
+            }
+            _ => PlacementPolicy::FirstFit,
         }
     }
 }
 
 impl Leader {
     /// Gangs that wait, those of the highest rank first, then the longest accepted.
-    pub(crate) fn waiting_gangs(&self, ctx: &Ctx) -> Vec<String> {
-        let waits = |w: &Work| w.gang_waits() && ctx.now.ms >= w.retry_at;
-        let waiting = self.works.iter().filter(|(_, w)| waits(w));
+    pub(crate) fn waiting_gangs(&self, ctx: &LeaderContext) -> Vec<String> {
+        let waits = |w: &JobState| w.is_gang_waiting() && ctx.now.monotonic_ms >= w.retry_at;
+        let waiting = self.jobs.iter().filter(|(_, w)| waits(w));
         let mut order: Vec<(Reverse<Priority>, u64, &String)> = waiting
-            .map(|(id, w)| (Reverse(w.spec.priority), w.at, id))
+            .map(|(id, w)| (Reverse(w.spec.priority), w.submitted_at_ms, id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, id)| id.clone()).collect()
     }
 
     /// Places the gangs that need only leftover room. Urgent ones also push lesser work aside.
-    pub fn place_gangs(&mut self, ctx: &Ctx) {
+    pub fn place_gangs_first_fit(&mut self, ctx: &LeaderContext) {
         let waiting = self.waiting_gangs(ctx);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.roomy(ctx);
+        let roomy = self.machines_with_capacity(ctx);
         for job in waiting {
-            let Some(work) = self.works.get(&job) else {
+            let Some(work) = self.jobs.get(&job) else {
                 continue;
             };
-            if work.gang_turn(ctx) != Turn::Leftover {
+            if work.gang_placement_policy(ctx) != PlacementPolicy::FirstFit {
                 continue;
             }
-            let urgent = work.urgent();
+            let urgent = work.is_urgent();
             if !self.place_gang(ctx, &job, &roomy) && urgent {
-                self.make_room_for_gang(ctx, &job, false);
+                self.preempt_for_gang(ctx, &job, false);
             }
         }
     }
@@ -100,98 +102,110 @@
     /// Gangs with a deadline ahead, in the mapping: placed whole where their weakest task's chance
     /// reaches the deferring threshold, dropped whole below the drop threshold while the toggle is
     /// on. A gang is never queued on machines, so its place in a queue is the first.
-    pub fn map_gangs(&mut self, ctx: &Ctx) {
+    pub fn place_deadline_gangs(&mut self, ctx: &LeaderContext) {
         let waiting = self.waiting_gangs(ctx);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.roomy(ctx);
+        let roomy = self.machines_with_capacity(ctx);
         for job in waiting {
-            let Some(work) = self.works.get(&job) else {
+            let Some(work) = self.jobs.get(&job) else {
                 continue;
             };
-            let Turn::Dated { due_s } = work.gang_turn(ctx) else {
+            let PlacementPolicy::DeadlineConstrained { due_s } = work.gang_placement_policy(ctx)
+            else {
                 continue;
             };
-            let Some(plan) = self.plan(ctx, &job, &roomy) else {
+            let Some(plan) = self.plan_gang(ctx, &job, &roomy) else {
                 continue;
             };
-            let chance = self.weakest_chance(&job, &plan, due_s);
-            if chance >= self.sched.pruner.deferring {
-                self.carry_out(ctx, &job, plan);
-            } else if self.sched.pruner.toggle == Toggle::On {
-                self.drop_hopeless(&job, &plan, chance);
+            let chance = self.lowest_on_time_probability(&job, &plan, due_s);
+            if chance >= self.scheduler.pruner.deferring_threshold {
+                self.place_planned_gang(ctx, &job, plan);
+            } else if self.scheduler.pruner.overload_toggle == OverloadToggle::On {
+                self.drop_gang_below_threshold(&job, &plan, chance);
             }
         }
     }
 
     /// The chance of the task that ends last: all run at the pace of the slowest machine, from when
     /// the last has its image.
-    fn weakest_chance(&mut self, job: &str, plan: &Plan, due_s: f64) -> f64 {
-        let Some(spec) = self.works.get(job).map(|w| w.spec.clone()) else {
+    fn lowest_on_time_probability(&mut self, job: &str, plan: &GangPlacement, due_s: f64) -> f64 {
+        let Some(spec) = self.jobs.get(job).map(|w| w.spec.clone()) else {
             return 0.0;
         };
         let mut weakest = 1.0_f64;
-        for machine_type in self.types_of(plan) {
-            let runs = self.sched.runs(&spec, &machine_type);
-            weakest = weakest.min(runs.cumulative().by(plan.fetch_s as f64, due_s));
+        for machine_type in self.machine_types_of(plan) {
+            let runs = self.scheduler.run_time_histogram(&spec, &machine_type);
+            weakest = weakest.min(
+                runs.cumulative()
+                    .on_time_probability_after(plan.image_fetch_s as f64, due_s),
+            );
         }
         weakest
     }
 
-    fn drop_hopeless(&mut self, job: &str, plan: &Plan, chance: f64) {
-        let Some(work) = self.works.get_mut(job) else {
+    fn drop_gang_below_threshold(&mut self, job: &str, plan: &GangPlacement, chance: f64) {
+        let Some(work) = self.jobs.get_mut(job) else {
             return;
         };
         let spec = work.spec.clone();
-        let Some(machine_type) = self.types_of(plan).into_iter().next() else {
+        let Some(machine_type) = self.machine_types_of(plan).into_iter().next() else {
             return;
         };
-        let skewness = self.sched.runs(&spec, &machine_type).run().skewness();
+        let skewness = self
+            .scheduler
+            .run_time_histogram(&spec, &machine_type)
+            .distribution()
+            .skewness();
         if chance >= Pruner::drop_threshold(skewness, 1) {
             return;
         }
         log::info!("gang {job} is dropped: chance {chance:.2}");
-        if let Some(gang) = self.works.get_mut(job).and_then(|w| w.gang.as_mut()) {
-            gang.dropped = true;
+        if let Some(gang) = self.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
+            gang.is_dropped = true;
         }
     }
 
-    fn types_of(&self, plan: &Plan) -> Vec<String> {
-        let machines = plan.shares.iter();
+    fn machine_types_of(&self, plan: &GangPlacement) -> Vec<String> {
+        let machines = plan.allocations.iter();
         let machines = machines.filter_map(|s| self.machines.get(&s.machine));
-        let mut types: Vec<String> = machines.map(|m| m.kind.clone()).collect();
+        let mut types: Vec<String> = machines.map(|m| m.machine_type.clone()).collect();
         types.sort();
         types.dedup();
         types
     }
 
     /// Places a gang where it fits whole. False: it does not.
-    pub(super) fn place_gang(&mut self, ctx: &Ctx, job: &str, roomy: &[String]) -> bool {
-        match self.plan(ctx, job, roomy) {
-            Some(plan) => self.carry_out(ctx, job, plan),
+    pub(super) fn place_gang(&mut self, ctx: &LeaderContext, job: &str, roomy: &[String]) -> bool {
+        match self.plan_gang(ctx, job, roomy) {
+            Some(plan) => self.place_planned_gang(ctx, job, plan),
             None => false,
         }
     }
 
     /// Machines for the whole gang out of these: in one zone if any will do, else spread over
     /// several where its job allows that.
-    fn plan(&self, ctx: &Ctx, job: &str, roomy: &[String]) -> Option<Plan> {
-        let work = self.works.get(job)?;
-        if !self.allows_whole(ctx, work) || !work.urgent() && self.team_kept(&work.spec) {
+    fn plan_gang(&self, ctx: &LeaderContext, job: &str, roomy: &[String]) -> Option<GangPlacement> {
+        let work = self.jobs.get(job)?;
+        if !self.gang_within_limit(ctx, work)
+            || !work.is_urgent() && self.is_team_reserved_for_other(&work.spec)
+        {
             return None;
         }
         let machines = roomy.iter().filter_map(|id| self.machines.get(id));
-        let mut candidates: Vec<Candidate> = machines
-            .filter_map(|m| self.candidate(ctx, m, work))
+        let mut candidates: Vec<GangCandidate> = machines
+            .filter_map(|m| self.gang_candidate(ctx, m, work))
             .collect();
         candidates.sort_by(|a, b| {
-            let slots = |c: &Candidate| Reverse(c.slots.min(work.spec.tasks));
-            let key = |c: &Candidate| (c.reserved, c.fetch_s, slots(c));
-            key(a).cmp(&key(b)).then(a.price.total_cmp(&b.price))
+            let slots = |c: &GangCandidate| Reverse(c.slots.min(work.spec.task_count));
+            let key = |c: &GangCandidate| (c.is_reserved, c.image_fetch_s, slots(c));
+            key(a)
+                .cmp(&key(b))
+                .then(a.price_per_cpu.total_cmp(&b.price_per_cpu))
         });
-        let tasks = work.spec.tasks;
-        let zone_limit = if work.spec.spread {
+        let tasks = work.spec.task_count;
+        let zone_limit = if work.spec.spreads_across_zones {
             tasks.div_ceil(2)
         } else {
             tasks
@@ -199,110 +213,120 @@
         let mut zones: Vec<&str> = candidates.iter().map(|c| c.zone.as_str()).collect();
         zones.sort_unstable();
         zones.dedup();
-        let mut best: Option<Plan> = None;
+        let mut best: Option<GangPlacement> = None;
         for zone in zones {
             let in_zone = candidates.iter().filter(|c| c.zone == zone);
-            if let Some(plan) = fill(in_zone, tasks, zone_limit) {
-                if best.as_ref().is_none_or(|b| plan.beats(b)) {
+            if let Some(plan) = allocate_tasks(in_zone, tasks, zone_limit) {
+                if best.as_ref().is_none_or(|b| plan.is_better_than(b)) {
                     best = Some(plan);
                 }
             }
         }
-        if best.is_none() && !work.spec.one_zone {
-            best = fill(candidates.iter(), tasks, zone_limit);
+        if best.is_none() && !work.spec.requires_single_zone {
+            best = allocate_tasks(candidates.iter(), tasks, zone_limit);
         }
         best
     }
 
     /// What a machine with room offers to the gang. Room that is kept or made for others, or that
     /// queued tasks wait for, is none.
-    fn candidate(&self, ctx: &Ctx, m: &Machine, work: &Work) -> Option<Candidate> {
+    fn gang_candidate(
+        &self,
+        ctx: &LeaderContext,
+        m: &Machine,
+        work: &JobState,
+    ) -> Option<GangCandidate> {
         let spec = &work.spec;
-        let machine_type = self.kind(&m.kind)?;
-        let slots = self.free(m)?.times(&Resources::of_task(spec));
-        let queue_first =
-            !m.held.is_empty() && !work.urgent() && work.gang_waited_ms(ctx) < k::PUT_OFF_QUEUED_MS;
-        if slots == 0 || queue_first || !self.usable(ctx, m, work) {
+        let machine_type = self.machine_type(&m.machine_type)?;
+        let slots = self
+            .free_resources(m)?
+            .count_fitting(&Resources::of_task(spec));
+        let queue_first = !m.queued.is_empty()
+            && !work.is_urgent()
+            && work.gang_waited_ms(ctx) < k::DEFERRED_PLACEMENT_QUEUED_MS;
+        if slots == 0 || queue_first || !self.is_eligible(ctx, m, work) {
             return None;
         }
         // Urgent gangs take what is kept for lesser work, if need be: the alternative is to stop some.
-        let reserved = self.reserving_priority(&m.id, &spec.id);
-        let kept = match work.urgent() {
+        let reserved = self.reserving_gang_priority(&m.id, &spec.id);
+        let kept = match work.is_urgent() {
             true => reserved.is_some_and(|priority| priority >= spec.priority),
-            false => self.is_kept(&m.id, &spec.id),
+            false => self.is_reserved_for_other(&m.id, &spec.id),
         };
-        if kept || self.is_made_for_other(ctx.now.ms, &m.id, &spec.id) {
+        if kept || self.is_being_cleared_for_other(ctx.now.monotonic_ms, &m.id, &spec.id) {
             return None;
         }
-        Some(Candidate {
-            reserved: reserved.is_some(),
+        Some(GangCandidate {
+            is_reserved: reserved.is_some(),
             machine: m.id.clone(),
             zone: m.zone.clone(),
             slots,
-            fetch_s: self.fetch_s(m, spec).round() as i64,
-            price: machine_type.price_per_cpu(m.spot),
+            image_fetch_s: self.image_fetch_s(m, spec).round() as i64,
+            price_per_cpu: machine_type.price_per_cpu(m.spot),
         })
     }
 
     /// Whether the team's limit leaves room for all tasks of the gang.
-    pub(crate) fn allows_whole(&self, ctx: &Ctx, work: &Work) -> bool {
-        let others = f64::from(work.spec.tasks.saturating_sub(1));
+    pub(crate) fn gang_within_limit(&self, ctx: &LeaderContext, work: &JobState) -> bool {
+        let others = f64::from(work.spec.task_count.saturating_sub(1));
         let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.allows(ctx, &work.spec, extra)
+        self.within_limit(ctx, &work.spec, extra)
     }
 
     /// Whether all tasks of the gang stay within their team's guarantee.
-    pub(super) fn guaranteed_whole(&self, ctx: &Ctx, work: &Work) -> bool {
-        let others = f64::from(work.spec.tasks.saturating_sub(1));
+    pub(super) fn gang_within_quota(&self, ctx: &LeaderContext, work: &JobState) -> bool {
+        let others = f64::from(work.spec.task_count.saturating_sub(1));
         let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.guaranteed(ctx, &work.spec, extra)
+        self.within_quota(ctx, &work.spec, extra)
     }
 
     /// Places every task under one new attempt, or none: a record may have no room for it.
-    fn carry_out(&mut self, ctx: &Ctx, job: &str, plan: Plan) -> bool {
+    fn place_planned_gang(&mut self, ctx: &LeaderContext, job: &str, plan: GangPlacement) -> bool {
         // The last guard against running twice, whatever went wrong before.
-        if self.machines.present_of(job).next().is_some() {
+        if self.machines.present_tasks(job).next().is_some() {
             log::error!("a task of gang {job} may still be on a machine; not placed");
             return false;
         }
-        let attempt = self.new_attempt();
-        let shares = plan.shares.iter();
+        let attempt = self.allocate_attempt();
+        let shares = plan.allocations.iter();
         let machines = shares.flat_map(|s| (0..s.tasks).map(|_| s.machine.clone()));
         let machines: Vec<String> = machines.collect();
         for (index, machine) in machines.iter().enumerate() {
             if !self.place_attempt(machine, job, index as u32, attempt) {
-                self.take_back_attempt(&machines, job, attempt);
+                self.revert_attempt(&machines, job, attempt);
                 return false;
             }
         }
-        self.sched.reservations.remove(job);
-        self.sched.making.retain(|made| made.job != job);
-        if let Some(gang) = self.works.get_mut(job).and_then(|w| w.gang.as_mut()) {
-            gang.attempts += 1;
+        self.scheduler.gang_reservations.remove(job);
+        self.scheduler
+            .preemption_plans
+            .retain(|made| made.job != job);
+        if let Some(gang) = self.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
+            gang.attempts_begun += 1;
             gang.set_state(job, GangState::Storing { attempt });
         }
         log::info!(
             "gang {job}#{attempt} is placed on {} machines after {} ms",
-            plan.shares.len(),
-            self.works.get(job).map_or(0, |w| w.gang_waited_ms(ctx))
+            plan.allocations.len(),
+            self.jobs.get(job).map_or(0, |w| w.gang_waited_ms(ctx))
         );
         true
     }
 
     /// Takes placements back that were made a moment ago.
-    fn take_back_attempt(&mut self, machines: &[String], job: &str, attempt: u64) {
+    fn revert_attempt(&mut self, machines: &[String], job: &str, attempt: u64) {
         for id in machines {
             if let Some(mut m) = self.machines.edit(id) {
                 m.placements
                     .retain(|p| p.job != job || p.attempt != attempt);
             }
-            self.stale(id);
+            self.mark_group_stale(id);
         }
     }
 
     /// What is free on a machine.
-    pub(crate) fn free(&self, m: &Machine) -> Option<Resources> {
-        let (cpus, gpus, memory_gb) = m.free(self.kind(&m.kind)?);
+    pub(crate) fn free_resources(&self, m: &Machine) -> Option<Resources> {
+        let (cpus, gpus, memory_gb) = m.free_resources(self.machine_type(&m.machine_type)?);
         Some(Resources {
             cpus,
             gpus,
@@ -312,16 +336,16 @@
 }
 
 /// Takes machines in turn until all tasks have one. `None`: there are too few.
-fn fill<'a>(
-    candidates: impl Iterator<Item = &'a Candidate>,
+fn allocate_tasks<'a>(
+    candidates: impl Iterator<Item = &'a GangCandidate>,
     tasks: u32,
     zone_limit: u32,
-) -> Option<Plan> {
-    let mut plan = Plan {
-        shares: vec![],
-        reserved: false,
-        fetch_s: 0,
-        price: 0.0,
+) -> Option<GangPlacement> {
+    let mut plan = GangPlacement {
+        allocations: vec![],
+        uses_reserved: false,
+        image_fetch_s: 0,
+        total_price: 0.0,
     };
     let mut left = tasks;
     let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
@@ -333,10 +357,10 @@
         }
         *here += count;
         left -= count;
-        plan.reserved |= candidate.reserved;
-        plan.fetch_s = plan.fetch_s.max(candidate.fetch_s);
-        plan.price += candidate.price * f64::from(count);
-        plan.shares.push(Share {
+        plan.uses_reserved |= candidate.is_reserved;
+        plan.image_fetch_s = plan.image_fetch_s.max(candidate.image_fetch_s);
+        plan.total_price += candidate.price_per_cpu * f64::from(count);
+        plan.allocations.push(MachineAllocation {
             machine: candidate.machine.clone(),
             tasks: count,
         });
--- a/crates/control/src/gang_tests.rs
+++ b/crates/control/src/gang_tests.rs
@@ -1,57 +1,57 @@
 use super::*;
 
-fn member(index: u32, attempt: u64, phase: Phase) -> Member {
-    Member {
+fn member(index: u32, attempt: u64, phase: Phase) -> GangMember {
+    GangMember {
         machine: format!("host-{index}"),
         index,
         attempt,
         phase,
-        stopping: false,
+        is_stopping: false,
     }
 }
 
-fn state(members: &[Member]) -> GangState {
-    next_state(7, GangState::Waiting, members, 2)
+fn state_of(members: &[GangMember]) -> GangState {
+    next_gang_state(7, GangState::Waiting, members, 2)
 }
 
 /// A `run` may go out only once every placement of the attempt is stored.
 #[test]
 fn an_attempt_gathers_only_when_all_its_placements_are_stored() {
-    let half = [member(0, 5, Phase::Stored), member(1, 5, Phase::New)];
-    assert_eq!(state(&half), GangState::Storing { attempt: 5 });
+    let half = [member(0, 5, Phase::Stored), member(1, 5, Phase::Unstored)];
+    assert_eq!(state_of(&half), GangState::Storing { attempt: 5 });
     let whole = [member(0, 5, Phase::Stored), member(1, 5, Phase::Stored)];
-    assert_eq!(state(&whole), GangState::Gathering { attempt: 5 });
+    assert_eq!(state_of(&whole), GangState::Starting { attempt: 5 });
 }
 
 /// An attempt that lacks a task can't run any more, whatever its other tasks report.
 #[test]
 fn an_attempt_that_lost_a_task_ends() {
-    assert_eq!(state(&[member(0, 5, Phase::Running)]), GangState::Ending);
+    assert_eq!(state_of(&[member(0, 5, Phase::Running)]), GangState::Ending);
     let mut members = [member(0, 5, Phase::Running), member(1, 5, Phase::Running)];
     let running = GangState::Running {
         attempt: 5,
-        since: 7,
+        running_since: 7,
     };
-    assert_eq!(state(&members), running);
-    members[1].stopping = true;
-    assert_eq!(state(&members), GangState::Ending);
+    assert_eq!(state_of(&members), running);
+    members[1].is_stopping = true;
+    assert_eq!(state_of(&members), GangState::Ending);
 }
 
 /// Tasks of two attempts make no gang, though all numbers are there.
 #[test]
 fn tasks_of_an_earlier_attempt_do_not_count() {
     let mixed = [member(0, 4, Phase::Running), member(1, 5, Phase::Running)];
-    assert_eq!(state(&mixed), GangState::Ending);
+    assert_eq!(state_of(&mixed), GangState::Ending);
 }
 
 /// The next attempt waits until nothing of the last can be on a machine.
 #[test]
 fn a_gang_waits_only_when_all_its_tasks_are_gone() {
-    assert_eq!(state(&[]), GangState::Waiting);
+    assert_eq!(state_of(&[]), GangState::Waiting);
     let mut left = [member(0, 5, Phase::Sent)];
-    assert_eq!(state(&left), GangState::Ending);
-    left[0].stopping = true;
-    assert_eq!(state(&left), GangState::Ending);
+    assert_eq!(state_of(&left), GangState::Ending);
+    left[0].is_stopping = true;
+    assert_eq!(state_of(&left), GangState::Ending);
 }
 
 /// The time at which it began to run must not move while it runs.
@@ -60,9 +60,9 @@
     let members = [member(0, 5, Phase::Running), member(1, 5, Phase::Running)];
     let running = GangState::Running {
         attempt: 5,
-        since: 3,
+        running_since: 3,
     };
-    assert_eq!(next_state(9, running, &members, 2), running);
+    assert_eq!(next_gang_state(9, running, &members, 2), running);
 }
 
 /// Its tasks are never in the list from which single tasks are started.
@@ -74,24 +74,24 @@
         team: "team".into(),
         kind: stonegw_wire::msg::JobKind::Gang,
         priority: stonegw_wire::msg::Priority::Normal,
-        tasks: 3,
+        task_count: 3,
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.0,
         image: "image".into(),
-        image_gb: 1.0,
-        types: None,
+        image_size_gb: 1.0,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        requires_single_zone: false,
+        spreads_across_zones: false,
+        allows_spot: false,
+        estimated_run_time_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
     };
-    let mut work = Work::new(spec, 0);
-    work.give_back(1);
-    assert!(work.pending.is_empty());
-    assert!(work.gang_waits());
+    let mut work = JobState::new(spec, 0);
+    work.requeue(1);
+    assert!(work.pending_tasks.is_empty());
+    assert!(work.is_gang_waiting());
 }
--- a/crates/control/src/leader/answers.rs
+++ b/crates/control/src/leader/answers.rs
@@ -3,190 +3,229 @@
 
 impl Leader {
     /// The bookkeeping of the record that an item changes.
-    pub(super) fn stored_of(&mut self, item: &Item) -> Option<&mut Stored> {
+    pub(super) fn stored_state_of(&mut self, item: &PendingWrite) -> Option<&mut StoredState> {
         match item {
-            Item::Shard { shard, .. } | Item::ShardGone { shard } => {
-                self.shards.get_mut(shard).map(|s| &mut s.stored)
+            PendingWrite::MachineGroup {
+                machine_group: shard,
+                ..
             }
-            Item::Done { job, chunk, .. } => {
-                if let Some(w) = self.works.get_mut(job) {
-                    return w.chunks.get_mut(chunk).map(|c| &mut c.stored);
+            | PendingWrite::DeleteMachineGroup {
+                machine_group: shard,
+            } => self
+                .machine_groups
+                .get_mut(shard)
+                .map(|s| &mut s.stored_state),
+            PendingWrite::ResultChunk { job, chunk, .. } => {
+                if let Some(w) = self.jobs.get_mut(job) {
+                    return w.result_chunks.get_mut(chunk).map(|c| &mut c.stored_state);
                 }
-                let key = done_key(job, *chunk);
-                self.drops.iter_mut().find(|d| d.0 == key).map(|d| &mut d.1)
+                let key = result_chunk_key(job, *chunk);
+                self.garbage_records
+                    .iter_mut()
+                    .find(|d| d.0 == key)
+                    .map(|d| &mut d.1)
             }
-            Item::DropDone { key } => {
+            PendingWrite::DeleteResultChunk { key } => {
                 let key = key.clone();
-                self.drops.iter_mut().find(|d| d.0 == key).map(|d| &mut d.1)
+                self.garbage_records
+                    .iter_mut()
+                    .find(|d| d.0 == key)
+                    .map(|d| &mut d.1)
             }
-            Item::End { .. } => None,
+            PendingWrite::JobEnd { .. } => None,
         }
     }
 
     /// Nothing of it was carried out: all is due again.
-    pub(super) fn unflush(&mut self, items: &[Item]) {
+    pub(super) fn revert_commit(&mut self, items: &[PendingWrite]) {
         for item in items {
-            if let Item::End { job, .. } | Item::Done { job, .. } = item {
-                self.due.insert(job.clone());
+            if let PendingWrite::JobEnd { job, .. } | PendingWrite::ResultChunk { job, .. } = item {
+                self.jobs_to_store.insert(job.clone());
             }
-            if let Item::End { job, .. } = item {
-                if let Some(w) = self.works.get_mut(job) {
-                    w.ending = false;
+            if let PendingWrite::JobEnd { job, .. } = item {
+                if let Some(w) = self.jobs.get_mut(job) {
+                    w.end_write_in_flight = false;
                 }
-            } else if let Some(s) = self.stored_of(item) {
-                s.writing = false;
+            } else if let Some(s) = self.stored_state_of(item) {
+                s.write_in_flight = false;
                 s.dirty = true;
             }
         }
     }
 
     /// Takes the answer of the state service to a transaction.
-    pub(super) fn flushed(
+    pub(super) fn commit_done(
         &mut self,
-        ctx: &mut Ctx,
-        items: Vec<Item>,
+        ctx: &mut LeaderContext,
+        items: Vec<PendingWrite>,
         size: TransactionSize,
         result: CallResult,
     ) {
-        let now = ctx.now.ms;
-        self.flushing = false;
+        let now = ctx.now.monotonic_ms;
+        self.commit_in_flight = false;
         match &result {
-            Ok((200, _)) => ctx.limits.accepted(),
-            Ok((429, _)) => ctx.limits.rate_refused(),
+            Ok((200, _)) => ctx.store_limits.record_accepted(),
+            Ok((429, _)) => ctx.store_limits.record_rate_rejected(),
             _ => {}
         }
         match result {
-            Ok((200, body)) => match decode::<TxnAnswer>(&body) {
-                Ok(a) => self.written(ctx, items, a.revision),
+            Ok((200, body)) => match decode::<TxnResponse>(&body) {
+                Ok(a) => self.apply_commit(ctx, items, a.revision),
                 Err(e) => {
                     log::warn!("transaction answer not understood: {e}");
-                    self.unsure(&items);
+                    self.revert_unacknowledged(&items);
                 }
             },
             Ok((409, body)) => {
-                let failed = decode::<TxnAnswer>(&body)
-                    .map(|a| a.failed)
+                let failed = decode::<TxnResponse>(&body)
+                    .map(|a| a.failed_keys)
                     .unwrap_or_default();
-                if failed.iter().any(|f| f == LEADER) {
+                if failed.iter().any(|f| f == LEADER_KEY) {
                     log::warn!("term {}: the leader key is no longer ours", self.term);
                     self.deposed = true;
                     return;
                 }
-                self.unflush(&items);
+                self.revert_commit(&items);
                 for item in &items {
-                    let key = item_key(item);
+                    let key = pending_write_key(item);
                     if failed.contains(&key) {
-                        self.doubt(item);
+                        self.mark_unacknowledged(item);
                     }
                 }
-                self.flush_at = now + k::STATE_RETRY_MS;
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
             }
             Ok((429 | 503, _)) | Err(CallError::NotSent) => {
-                self.unflush(&items);
-                self.flush_at = now + k::STATE_RETRY_MS;
+                self.revert_commit(&items);
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
             }
             // The limits were lowered: the same again, in smaller parts.
-            Ok((400, _)) if ctx.limits.size_refused(size) => {
-                self.unflush(&items);
-                self.flush_at = now + k::STATE_RETRY_MS;
+            Ok((400, _)) if ctx.store_limits.record_size_rejected(size) => {
+                self.revert_commit(&items);
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
             }
             Ok((status, body)) => {
                 log::error!(
                     "transaction refused: {status} {}",
                     String::from_utf8_lossy(&body)
                 );
-                self.unflush(&items);
-                self.put_last(now, &items);
-                self.flush_at = now + k::STATE_RETRY_MAX_MS;
+                self.revert_commit(&items);
+                self.deprioritize_writes(now, &items);
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MAX_MS;
             }
             // It may have been carried out, or be applied yet: read the stamps before writing.
-            Err(CallError::Unknown | CallError::TooLarge) => {
-                self.unsure(&items);
-                self.flush_at = now + k::STATE_RETRY_MS;
+            Err(CallError::OutcomeUnknown | CallError::ResponseTooLarge) => {
+                self.revert_unacknowledged(&items);
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
             }
         }
     }
 
     /// What can't be written must not keep other records waiting.
-    fn put_last(&mut self, now: Ms, items: &[Item]) {
+    fn deprioritize_writes(&mut self, now: Millis, items: &[PendingWrite]) {
         for item in items {
-            if let Item::Shard { shard, .. } = item {
-                if let Some(s) = self.shards.get_mut(shard) {
-                    s.since = now;
-                    s.urgent = false;
+            if let PendingWrite::MachineGroup {
+                machine_group: shard,
+                ..
+            } = item
+            {
+                if let Some(s) = self.machine_groups.get_mut(shard) {
+                    s.dirty_since = now;
+                    s.is_urgent = false;
                 }
             }
         }
     }
 
     /// It is not known whether these were carried out.
-    fn unsure(&mut self, items: &[Item]) {
-        self.unflush(items);
+    fn revert_unacknowledged(&mut self, items: &[PendingWrite]) {
+        self.revert_commit(items);
         for item in items {
-            self.doubt(item);
+            self.mark_unacknowledged(item);
         }
     }
 
     /// Has the stamp of a record read before it is written again.
-    fn doubt(&mut self, item: &Item) {
-        let Some(s) = self.stored_of(item) else {
+    fn mark_unacknowledged(&mut self, item: &PendingWrite) {
+        let Some(s) = self.stored_state_of(item) else {
             return;
         };
-        if s.version.take().is_some() {
-            self.doubts.push(item.clone());
+        if s.revision.take().is_some() {
+            self.unacknowledged_writes.push(item.clone());
         }
     }
 
     /// All of it was carried out, at this revision.
-    fn written(&mut self, ctx: &mut Ctx, items: Vec<Item>, revision: u64) {
-        let mut settled: Vec<On> = vec![];
+    fn apply_commit(&mut self, ctx: &mut LeaderContext, items: Vec<PendingWrite>, revision: u64) {
+        let mut settled: Vec<PlacementRef> = vec![];
         for item in items {
-            let gone = matches!(item, Item::ShardGone { .. });
-            if let Some(s) = self.stored_of(&item) {
-                s.writing = false;
-                s.version = Some(if gone { 0 } else { revision });
+            let gone = matches!(item, PendingWrite::DeleteMachineGroup { .. });
+            if let Some(s) = self.stored_state_of(&item) {
+                s.write_in_flight = false;
+                s.revision = Some(if gone { 0 } else { revision });
             }
             match item {
-                Item::Shard { shard, new } => {
-                    self.succeeded(shard);
+                PendingWrite::MachineGroup {
+                    machine_group: shard,
+                    new_placements: new,
+                } => {
+                    self.clear_stored_successor(shard);
                     for on in new {
-                        self.placement_stored(&on);
+                        self.mark_placement_stored(&on);
                     }
                 }
                 // Something may have gone into it since.
-                Item::ShardGone { shard } => {
+                PendingWrite::DeleteMachineGroup {
+                    machine_group: shard,
+                } => {
                     if self
-                        .shards
+                        .machine_groups
                         .get(&shard)
                         .is_some_and(|s| s.machines.is_empty())
                     {
-                        self.shards.remove(&shard);
+                        self.machine_groups.remove(&shard);
                     }
                 }
-                Item::Done { exits, .. } => settled.extend(exits),
-                Item::DropDone { key } => self.drops.retain(|d| d.0 != key),
-                Item::End { job, exits } => {
+                PendingWrite::ResultChunk {
+                    exited_placements: exits,
+                    ..
+                } => settled.extend(exits),
+                PendingWrite::DeleteResultChunk { key } => {
+                    self.garbage_records.retain(|d| d.0 != key)
+                }
+                PendingWrite::JobEnd {
+                    job,
+                    exited_placements: exits,
+                } => {
                     settled.extend(exits);
                     if let Some(j) = ctx.replica.jobs.get(&job) {
                         let record = JobRecord {
                             spec: None,
-                            end: Some(End::Done),
-                            seen: None,
+                            end: Some(JobEnd::Done),
+                            observed_run_times: None,
                             ..j.record.clone()
                         };
                         ctx.replica.put_job(&job, record, revision);
                     }
-                    if let Some(s) = self.works.get(&job).and_then(|w| self.sched.seen(&w.spec)) {
-                        self.sched.learn(&s.class, s.ratio);
+                    if let Some(s) = self
+                        .jobs
+                        .get(&job)
+                        .and_then(|w| self.scheduler.observed_run_times(&w.spec))
+                    {
+                        self.scheduler
+                            .record_estimate_ratio(&s.class, s.run_to_estimate_ratio);
                     }
                     log::info!("job {job} done");
-                    self.ended(&job, End::Done);
+                    self.end_job(&job, JobEnd::Done);
                 }
             }
         }
         for on in settled {
-            self.mark(&on, |p| {
-                if let Phase::Exited { settled, .. } = &mut p.phase {
+            self.update_placements(&on, |p| {
+                if let Phase::Exited {
+                    outcome_stored: settled,
+                    ..
+                } = &mut p.phase
+                {
                     *settled = true;
                 }
             });
@@ -194,23 +233,31 @@
     }
 
     /// A single task may be started now; one of a gang waits for the gang's other placements.
-    fn placement_stored(&mut self, on: &On) {
-        let works = &self.works;
+    fn mark_placement_stored(&mut self, on: &PlacementRef) {
+        let works = &self.jobs;
         let Some(mut m) = self.machines.edit(&on.0) else {
             return;
         };
         for p in m.placements.iter_mut() {
-            if p.attempt != on.1 || p.phase != Phase::New {
+            if p.attempt != on.1 || p.phase != Phase::Unstored {
                 continue;
             }
             let in_gang = works.get(&p.job).is_some_and(|w| w.gang.is_some());
             self.gangs_changed |= in_gang;
-            p.set_phase(if in_gang { Phase::Stored } else { Phase::Ready });
+            p.set_phase(if in_gang {
+                Phase::Stored
+            } else {
+                Phase::Startable
+            });
         }
     }
 
     /// Changes an attempt's placements, as far as they are still there.
-    fn mark(&mut self, (machine, attempt): &On, change: impl Fn(&mut Placement)) {
+    fn update_placements(
+        &mut self,
+        (machine, attempt): &PlacementRef,
+        change: impl Fn(&mut Placement),
+    ) {
         if let Some(mut m) = self.machines.edit(machine) {
             let of_attempt = m.placements.iter_mut().filter(|p| p.attempt == *attempt);
             of_attempt.for_each(change);
--- a/crates/control/src/leader/calls.rs
+++ b/crates/control/src/leader/calls.rs
@@ -1,44 +1,44 @@
 //! The calls of the leader that wait for an answer.
-use super::{Item, TransactionSize};
-use crate::api::Ms;
-use crate::fleet::FleetCall;
+use super::{PendingWrite, TransactionSize};
+use crate::api::Millis;
+use crate::fleet::AutoscalerCall;
 
 /// A call that waits for its answer, with what the answer is needed for.
 #[derive(Debug)]
-pub enum Call {
+pub enum LeaderCall {
     /// Renews the lease of the leader key.
-    Renew {
+    RenewLease {
         /// When it was asked for: the lease lasts from then on at least.
-        sent: Ms,
+        sent_at: Millis,
     },
-    Load {
+    LoadRecords {
         prefix: &'static str,
     },
-    Flush {
-        items: Vec<Item>,
+    Commit {
+        writes: Vec<PendingWrite>,
         size: TransactionSize,
     },
-    Reread {
-        item: Item,
+    ReadRevision {
+        write: PendingWrite,
     },
-    Do {
+    DirectCommand {
         machine: String,
-        session: u64,
-        runs: Vec<u64>,
+        incarnation: u64,
+        started_attempts: Vec<u64>,
     },
     /// Asks a machine that did not hear us whether it does now.
-    Inspect {
+    Probe {
         machine: String,
     },
-    Fleet(FleetCall),
+    Autoscaler(AutoscalerCall),
 }
 
-impl Call {
+impl LeaderCall {
     /// It goes to the state service.
-    pub fn is_state(&self) -> bool {
+    pub fn targets_store(&self) -> bool {
         !matches!(
             self,
-            Call::Do { .. } | Call::Inspect { .. } | Call::Fleet(_)
+            LeaderCall::DirectCommand { .. } | LeaderCall::Probe { .. } | LeaderCall::Autoscaler(_)
         )
     }
 }
--- a/crates/control/src/leader/command.rs
+++ b/crates/control/src/leader/command.rs
@@ -3,70 +3,84 @@
 
 impl Leader {
     /// Commands due for a machine. `beat`: they go in the answer to its newest report.
-    pub(super) fn orders(&mut self, ctx: &Ctx, id: &str, beat: bool) -> Vec<Command> {
-        let now = ctx.now.ms;
+    pub(super) fn collect_commands(
+        &mut self,
+        ctx: &LeaderContext,
+        id: &str,
+        beat: bool,
+    ) -> Vec<Command> {
+        let now = ctx.now.monotonic_ms;
         let Some(mut m) = self.machines.edit(id) else {
             return vec![];
         };
-        let open = m.do_open.is_some() || m.do_lost;
-        let (seq, wanted) = (m.seq, m.life != Life::Deleting);
+        let open = m.command_in_flight.is_some() || m.command_unanswered;
+        let (seq, wanted) = (m.sequence, m.lifecycle != Lifecycle::Terminating);
         let mut out = vec![];
         for p in &mut m.placements {
-            let (task, attempt) = (p.task(), p.attempt);
+            let (task, attempt) = (p.task_name(), p.attempt);
             match p.phase {
-                Phase::New | Phase::Stored => {}
-                Phase::Ready | Phase::Sent => {
+                Phase::Unstored | Phase::Stored => {}
+                Phase::Startable | Phase::Sent => {
                     // A predecessor's task is never sent again: the record may be older than
                     // the task's move elsewhere. Either the worker shows it, or it is gone.
-                    if let (Some(grace_s), Phase::Sent) = (p.stop, p.phase) {
+                    if let (Some(grace_s), Phase::Sent) = (p.stop_grace_s, p.phase) {
                         // A `run` that may still arrive late must find its attempt used up:
                         // so it is given once more, and ended in the same breath.
                         if open && !p.inherited {
                             out.push(Command::Start {
-                                task: task.clone(),
+                                task_id: task.clone(),
                                 attempt,
                             });
-                            p.sent_seq = seq;
+                            p.sent_sequence = seq;
                         }
                         out.push(Command::Stop {
-                            task,
+                            task_id: task,
                             attempt,
-                            grace_s,
+                            grace_period_s: grace_s,
                         });
-                    } else if p.stop.is_none()
+                    } else if p.stop_grace_s.is_none()
                         && !p.inherited
                         && wanted
-                        && ctx.covered
-                        && (p.phase == Phase::Ready || beat)
+                        && ctx.watermark_current
+                        && (p.phase == Phase::Startable || beat)
                     {
                         p.set_phase(Phase::Sent);
                         if beat {
-                            p.sent_seq = seq;
+                            p.sent_sequence = seq;
                         } else {
-                            p.direct = true;
+                            p.sent_directly = true;
                         }
-                        out.push(Command::Start { task, attempt });
+                        out.push(Command::Start {
+                            task_id: task,
+                            attempt,
+                        });
                     }
                 }
-                Phase::Fetching | Phase::Gathering | Phase::Running | Phase::Saving => {
-                    if let Some(grace_s) = p.stop {
-                        if beat || now >= p.stop_sent + k::STOP_REPEAT_MS {
-                            p.stop_sent = now;
+                Phase::Fetching | Phase::WaitingForGang | Phase::Running | Phase::Checkpointing => {
+                    if let Some(grace_s) = p.stop_grace_s {
+                        if beat || now >= p.last_stop_sent_at + k::STOP_RESEND_INTERVAL_MS {
+                            p.last_stop_sent_at = now;
                             out.push(Command::Stop {
-                                task,
+                                task_id: task,
                                 attempt,
-                                grace_s,
+                                grace_period_s: grace_s,
                             });
                         }
                     }
                 }
                 // Never while a direct `run` may still arrive: after `clear` it would start
                 // the task anew.
-                Phase::Exited { cause, settled } => {
+                Phase::Exited {
+                    cause,
+                    outcome_stored: settled,
+                } => {
                     p.exited_at.get_or_insert(now);
-                    if settled && beat && !open && may_clear(now, p, cause) {
-                        p.clear_sent = true;
-                        out.push(Command::Forget { task, attempt });
+                    if settled && beat && !open && may_forget(now, p, cause) {
+                        p.forget_sent = true;
+                        out.push(Command::Forget {
+                            task_id: task,
+                            attempt,
+                        });
                     }
                 }
             }
@@ -75,21 +89,22 @@
     }
 
     /// Direct commands, where they are faster than the next report.
-    pub(super) fn command(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
+    pub(super) fn send_direct_commands(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
         let ids: Vec<String> = self
             .machines
-            .with_commands()
+            .with_pending_commands()
             .filter(|m| {
-                m.do_open.is_none()
+                m.command_in_flight.is_none()
                     && m.addr.is_some()
-                    && !m.quiet(now, ctx.set.report_s)
-                    && !m.via_state
-                    && !m.deaf()
+                    && !m.is_silent(now, ctx.settings.heartbeat_interval_s)
+                    && !m.via_store
+                    && !m.is_unreachable()
                     && m.placements.iter().any(|p| match p.phase {
-                        Phase::Ready => p.stop.is_none() && ctx.covered,
-                        Phase::Fetching | Phase::Gathering | Phase::Running => {
-                            p.stop.is_some() && now >= p.stop_sent + k::STOP_REPEAT_MS
+                        Phase::Startable => p.stop_grace_s.is_none() && ctx.watermark_current,
+                        Phase::Fetching | Phase::WaitingForGang | Phase::Running => {
+                            p.stop_grace_s.is_some()
+                                && now >= p.last_stop_sent_at + k::STOP_RESEND_INTERVAL_MS
                         }
                         _ => false,
                     })
@@ -97,7 +112,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in ids {
-            let commands = self.orders(ctx, &id, false);
+            let commands = self.collect_commands(ctx, &id, false);
             let Some(mut m) = self.machines.edit(&id) else {
                 continue;
             };
@@ -111,57 +126,57 @@
                     _ => None,
                 })
                 .collect();
-            let orders = Orders {
-                token: self.term,
-                session: Some(m.session),
+            let orders = CommandBatch {
+                fencing_token: self.term,
+                incarnation: Some(m.incarnation),
                 commands,
             };
-            let session = m.session;
+            let session = m.incarnation;
             let target = Target::Worker(m.addr.clone().unwrap_or_default());
-            let call = Call::Do {
+            let call = LeaderCall::DirectCommand {
                 machine: id.clone(),
-                session,
-                runs,
+                incarnation: session,
+                started_attempts: runs,
             };
-            let wait = k::DO_TIMEOUT_MS;
-            let call = ctx.call(call, target, "POST", "/do".into(), encode(&orders), wait);
-            m.do_open = Some(call);
+            let wait = k::DIRECT_COMMAND_TIMEOUT_MS;
+            let call = ctx.send_call(call, target, "POST", "/do".into(), encode(&orders), wait);
+            m.command_in_flight = Some(call);
         }
     }
 
-    pub(super) fn done_do(
+    pub(super) fn direct_command_done(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut LeaderContext,
         id: &str,
         session: u64,
         runs: Vec<u64>,
         r: CallResult,
     ) {
         match self.machines.edit(id) {
-            Some(mut m) => m.do_open = None,
+            Some(mut m) => m.command_in_flight = None,
             None => return,
         }
         if let Ok((200 | 409, body)) = &r {
-            if self.hear_answer(ctx, id, body) {
+            if self.apply_command_reply(ctx, id, body) {
                 return;
             }
         }
         let Some(mut m) = self.machines.edit(id) else {
             return;
         };
-        log::debug!("direct command to {id}: {}", describe(&r));
-        m.missed(ctx.now.ms);
+        log::debug!("direct command to {id}: {}", describe_result(&r));
+        m.record_undelivered(ctx.now.monotonic_ms);
         if r == Err(CallError::NotSent) {
             for p in m.placements.iter_mut() {
-                if runs.contains(&p.attempt) && p.phase == Phase::Sent && p.sent_seq == 0 {
-                    p.set_phase(Phase::Ready);
+                if runs.contains(&p.attempt) && p.phase == Phase::Sent && p.sent_sequence == 0 {
+                    p.set_phase(Phase::Startable);
                 }
             }
             return;
         }
         // It may still arrive, minutes late, for as long as this session lasts.
-        if m.session == session && !runs.is_empty() {
-            m.do_lost = true;
+        if m.incarnation == session && !runs.is_empty() {
+            m.command_unanswered = true;
         }
     }
 }
@@ -169,7 +184,7 @@
 /// Whether the worker may forget an exited task. One whose direct `run` may come once more,
 /// as a late copy, must find its attempt used up: else it would start anew while the task,
 /// which was not done, is elsewhere. The worker keeps it for as long as copies may travel.
-fn may_clear(now: Ms, p: &Placement, cause: ExitCause) -> bool {
-    let again = p.direct && !p.inherited && cause != ExitCause::Done;
-    !again || now >= p.exited_at.unwrap_or(now) + k::COPY_LIFE_MS
+fn may_forget(now: Millis, p: &Placement, cause: ExitCause) -> bool {
+    let again = p.sent_directly && !p.inherited && cause != ExitCause::Done;
+    !again || now >= p.exited_at.unwrap_or(now) + k::DUPLICATE_COMMAND_LIFETIME_MS
 }
--- a/crates/control/src/leader/context.rs
+++ b/crates/control/src/leader/context.rs
@@ -1,53 +1,61 @@
 //! What the leader may use of its node, and how it makes calls.
 use super::*;
-use crate::fleet::FleetCall;
+use crate::fleet::AutoscalerCall;
 
 /// What the leader may use of its node.
-pub struct Ctx<'a> {
+pub struct LeaderContext<'a> {
     pub now: Now,
-    pub set: &'a Settings,
+    pub settings: &'a Settings,
     /// No other node is heard, so another may hear the machines that we don't.
     pub may_resign: bool,
     /// What may have been cancelled without our knowledge still ends in time: leases may be
     /// renewed and tasks started.
-    pub covered: bool,
+    pub watermark_current: bool,
     /// The leader key was seen to be ours since the node's last pause: commands and writes may go out.
-    pub proven: bool,
+    pub leadership_confirmed: bool,
     pub replica: &'a mut Replica,
-    pub reads: &'a mut Bucket,
-    pub writes: &'a mut Bucket,
+    pub read_budget: &'a mut TokenBucket,
+    pub write_budget: &'a mut TokenBucket,
     /// How large what is written may be.
-    pub limits: &'a mut StoreLimits,
-    pub(crate) out: &'a mut Out,
-    pub calls: &'a mut Vec<(u64, Call)>,
+    pub store_limits: &'a mut StoreLimits,
+    pub(crate) outbox: &'a mut Outbox,
+    pub calls: &'a mut Vec<(u64, LeaderCall)>,
 }
 
-impl Ctx<'_> {
+impl LeaderContext<'_> {
     /// Makes a call and returns its number; its answer comes back with `what`.
-    pub fn call(
+    pub fn send_call(
         &mut self,
-        what: Call,
+        what: LeaderCall,
         target: Target,
         method: &'static str,
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
     ) -> u64 {
-        let id = self.out.call(target, method, path, body, timeout_ms);
+        let id = self
+            .outbox
+            .start_call(target, method, path, body, timeout_ms);
         self.calls.push((id, what));
         id
     }
 
     /// Reads from the state service.
-    pub fn read(&mut self, what: Call, path: String) {
-        let wait = k::STATE_TIMEOUT_MS;
-        self.call(what, Target::State, "GET", path, vec![], wait);
+    pub fn read_store(&mut self, what: LeaderCall, path: String) {
+        let wait = k::STORE_TIMEOUT_MS;
+        self.send_call(what, Target::Store, "GET", path, vec![], wait);
     }
 
     /// Asks the cloud.
-    pub fn ask_cloud(&mut self, what: FleetCall, method: &'static str, path: &str, body: Vec<u8>) {
-        let (what, path) = (Call::Fleet(what), path.to_owned());
+    pub fn call_cloud(
+        &mut self,
+        what: AutoscalerCall,
+        method: &'static str,
+        path: &str,
+        body: Vec<u8>,
+    ) {
+        let (what, path) = (LeaderCall::Autoscaler(what), path.to_owned());
         let wait = k::CLOUD_TIMEOUT_MS;
-        self.call(what, Target::Cloud, method, path, body, wait);
+        self.send_call(what, Target::Cloud, method, path, body, wait);
     }
 }
--- a/crates/control/src/leader/draft.rs
+++ b/crates/control/src/leader/draft.rs
@@ -2,65 +2,65 @@
 use super::*;
 
 /// A transaction being put together.
-pub(super) struct Draft {
-    pub(super) txn: Txn<Value>,
-    pub(super) items: Vec<Item>,
+pub(super) struct TransactionBuilder {
+    pub(super) transaction: Txn<StoredRecord>,
+    pub(super) pending_writes: Vec<PendingWrite>,
     bytes: usize,
     pub(super) size: TransactionSize,
-    pub(super) most: usize,
+    pub(super) max_writes: usize,
     /// Something found no room in it.
-    pub(super) full: bool,
+    pub(super) is_full: bool,
 }
 
-impl Draft {
+impl TransactionBuilder {
     /// An empty one, which holds only while the leader key has this term.
-    pub(super) fn new(term: u64, most: usize) -> Draft {
+    pub(super) fn new(term: u64, max_writes: usize) -> TransactionBuilder {
         let ours = Condition {
-            key: LEADER.into(),
-            version: term,
+            key: LEADER_KEY.into(),
+            revision: term,
         };
-        Draft {
-            txn: Txn {
+        TransactionBuilder {
+            transaction: Txn {
                 conditions: vec![ours],
                 writes: vec![],
             },
-            items: vec![],
-            bytes: k::TXN_MARGIN,
+            pending_writes: vec![],
+            bytes: k::TXN_MARGIN_BYTES,
             size: TransactionSize::default(),
-            most,
-            full: false,
+            max_writes,
+            is_full: false,
         }
     }
 
     /// Adds a write that replaces `version`. False if it does not fit any more.
-    pub(super) fn add(
+    pub(super) fn add_write(
         &mut self,
         key: String,
         version: u64,
-        value: Option<Value>,
-        item: Item,
+        value: Option<StoredRecord>,
+        item: PendingWrite,
     ) -> bool {
-        let value_bytes = value.as_ref().map_or(0, json_len);
+        let value_bytes = value.as_ref().map_or(0, json_size_bytes);
         let size = value_bytes + 2 * key.len() + 120;
-        if self.items.len() >= self.most || self.bytes + size > k::TXN_BYTES {
-            self.full = true;
+        if self.pending_writes.len() >= self.max_writes || self.bytes + size > k::MAX_TXN_BYTES {
+            self.is_full = true;
             return false;
         }
         self.bytes += size;
-        self.size.add(value_bytes);
-        self.txn.conditions.push(Condition {
+        self.size.add_write(value_bytes);
+        self.transaction.conditions.push(Condition {
             key: key.clone(),
-            version,
+            revision: version,
         });
-        self.txn.writes.push(match value {
+        self.transaction.writes.push(match value {
             Some(value) => Write::Put {
                 key,
                 value,
-                lease: None,
+                lease_id: None,
             },
             None => Write::Delete { key },
         });
-        self.items.push(item);
+        self.pending_writes.push(item);
         true
     }
 }
--- a/crates/control/src/leader/failed.rs
+++ b/crates/control/src/leader/failed.rs
@@ -4,43 +4,50 @@
 
 impl Leader {
     /// A task exited without being done.
-    pub(super) fn failed(&mut self, now: Ms, id: &str, job: &str, index: u32, cause: ExitCause) {
+    pub(super) fn handle_task_failure(
+        &mut self,
+        now: Millis,
+        id: &str,
+        job: &str,
+        index: u32,
+        cause: ExitCause,
+    ) {
         log::info!("{job}/{index} on {id}: {cause:?}");
         match cause {
             ExitCause::Error => {
-                self.count_error(id, job);
+                self.record_error(id, job);
                 self.delay_retry(now, job);
             }
-            ExitCause::Unknown | ExitCause::Busy => self.delay_retry(now, job),
-            ExitCause::NoRoom => {
+            ExitCause::UnknownTask | ExitCause::AttemptConflict => self.delay_retry(now, job),
+            ExitCause::NoCapacity => {
                 if let Some(mut m) = self.machines.edit(id) {
-                    m.full_until = now + k::START_RETRY_MS * 2;
+                    m.full_until = now + k::START_BACKOFF_MS * 2;
                 }
             }
             _ => {}
         }
-        self.back(job, index);
+        self.requeue_task(job, index);
     }
 
     /// Notes the error with the job and with the machine. Errors of a job that fails everywhere say
     /// nothing of the machines that it was tried on.
-    fn count_error(&mut self, id: &str, job: &str) {
-        let Some(work) = self.works.get_mut(job) else {
+    fn record_error(&mut self, id: &str, job: &str) {
+        let Some(work) = self.jobs.get_mut(job) else {
             return;
         };
         let known_as_broken = work.failures.job_is_broken();
-        work.failures.on_machine(id);
+        work.failures.record_failure(id);
         if known_as_broken {
             return;
         }
         if work.failures.job_is_broken() {
             log::warn!("job {job} fails on every machine");
             return self.machines.edit_all(|m| {
-                m.errors.remove(job);
+                m.failed_jobs.remove(job);
             });
         }
         if let Some(mut m) = self.machines.edit(id) {
-            m.errors.insert(job.to_owned());
+            m.failed_jobs.insert(job.to_owned());
         }
         self.drain_if_faulty(id);
     }
@@ -50,32 +57,32 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let works = &self.works;
+        let works = &self.jobs;
         let weight = |job: &String| match works.get(job) {
             Some(work) if work.done_count == 0 => 1,
             _ => k::PROVEN_JOB_EVIDENCE,
         };
-        let evidence: usize = machine.errors.iter().map(weight).sum();
-        if evidence < k::FAULTY_EVIDENCE || machine.life != Life::Up {
+        let evidence: usize = machine.failed_jobs.iter().map(weight).sum();
+        if evidence < k::FAULTY_MACHINE_EVIDENCE || machine.lifecycle != Lifecycle::Ready {
             return;
         }
         if let Some(mut m) = self.machines.edit(id) {
-            m.set_life(Life::Draining);
+            m.set_lifecycle(Lifecycle::Draining);
         }
     }
 
     /// The job waits before its next start. Tasks that fail while it waits already are of the same round.
     /// Nothing of it stays in a queue meanwhile, where it would keep room from others.
-    fn delay_retry(&mut self, now: Ms, job: &str) {
-        let Some(work) = self.works.get_mut(job) else {
+    fn delay_retry(&mut self, now: Millis, job: &str) {
+        let Some(work) = self.jobs.get_mut(job) else {
             return;
         };
         if now >= work.retry_at {
-            work.retry_at = now + work.failures.next_wait_ms(&mut self.rng);
+            work.retry_at = now + work.failures.next_backoff_ms(&mut self.rng);
         }
-        while let Some(index) = self.machines.first_held(job) {
-            self.unhold(job, index);
-            self.back(job, index);
+        while let Some(index) = self.machines.first_queued(job) {
+            self.dequeue(job, index);
+            self.requeue_task(job, index);
         }
     }
 }
--- a/crates/control/src/leader/hear.rs
+++ b/crates/control/src/leader/hear.rs
@@ -4,18 +4,22 @@
 impl Leader {
     /// A worker's report; the answer renews its lease. `None`: we do not lead any more, or may
     /// not renew it.
-    pub fn beat(&mut self, ctx: &mut Ctx, report: Report) -> Option<Orders> {
-        if report.token > self.term || self.deposed {
+    pub fn handle_heartbeat(
+        &mut self,
+        ctx: &mut LeaderContext,
+        report: Heartbeat,
+    ) -> Option<CommandBatch> {
+        if report.fencing_token > self.term || self.deposed {
             self.deposed = true;
             return None;
         }
-        self.now_ms = ctx.now.ms;
-        if !ctx.covered {
+        self.now_ms = ctx.now.monotonic_ms;
+        if !ctx.watermark_current {
             // The machine lives, but nothing that we say reaches it by this way.
             if self.stage != Stage::Loading {
-                let id = report.machine.clone();
-                if self.hear(ctx, report, false) {
-                    self.take_exits(ctx, &id);
+                let id = report.machine_id.clone();
+                if self.apply_heartbeat(ctx, report, false) {
+                    self.process_exits(ctx, &id);
                 }
             }
             return None;
@@ -23,24 +27,24 @@
         let mut commands = vec![];
         if self.stage == Stage::Loading {
             // Loading waits for the state service; what is cancelled does not.
-            commands = ctx.replica.stops(&report);
+            commands = ctx.replica.stop_commands(&report);
         } else {
-            let id = report.machine.clone();
-            let newer = self.hear(ctx, report, true);
+            let id = report.machine_id.clone();
+            let newer = self.apply_heartbeat(ctx, report, true);
             if newer {
                 if let Some(mut m) = self.machines.edit(&id) {
-                    m.via_state = false;
+                    m.via_store = false;
                 }
-                self.take_exits(ctx, &id);
+                self.process_exits(ctx, &id);
                 if self.stage == Stage::Active {
-                    self.promote(ctx, &id);
+                    self.dispatch_queued(ctx, &id);
                 }
-                commands = self.orders(ctx, &id, true);
+                commands = self.collect_commands(ctx, &id, true);
             }
         }
-        Some(Orders {
-            token: self.term,
-            session: None,
+        Some(CommandBatch {
+            fencing_token: self.term,
+            incarnation: None,
             commands,
         })
     }
@@ -48,89 +52,106 @@
     /// Takes in a report. `beat`: it came as a report, not as the answer to a direct command.
     /// Only the newest by session and number says anything: copies of reports may come minutes
     /// late, through any node.
-    pub(super) fn hear(&mut self, ctx: &mut Ctx, report: Report, beat: bool) -> bool {
-        let now = ctx.now.ms;
-        let id = report.machine.clone();
-        if self.deleted.contains_key(&id) {
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        ctx: &mut LeaderContext,
+        report: Heartbeat,
+        beat: bool,
+    ) -> bool {
+        let now = ctx.now.monotonic_ms;
+        let id = report.machine_id.clone();
+        if self.deleted_machines.contains_key(&id) {
             return false;
         }
         self.machines.add(&id, || {
             log::info!("machine {id} reports for the first time");
-            Machine::new(&id, &report.machine_type, &report.zone, report.spot, now)
+            Machine::new(&id, &report.machine_type, &report.zone, report.is_spot, now)
         });
         let term = self.term;
         let Some(mut m) = self.machines.edit(&id) else {
             return false;
         };
-        if (report.session, report.seq) <= (m.session, m.seq) {
+        if (report.incarnation, report.sequence) <= (m.incarnation, m.sequence) {
             return false;
         }
-        let new_session = report.session > m.session && m.heard.is_some();
+        let new_session = report.incarnation > m.incarnation && m.last_heartbeat_at.is_some();
         // What an earlier leader placed may have been sent in either session, unless the worker
         // had already seen our token in the old one.
-        let inherited_too = m.under_token;
-        let first = m.heard.is_none();
+        let inherited_too = m.under_current_term;
+        let first = m.last_heartbeat_at.is_none();
         // We answered it all the while, and its lease ran out all the same; or it restarted.
-        let unheard = new_session && m.answered > 1 && !m.quiet(now, ctx.set.report_s);
-        if m.quiet(now, ctx.set.report_s) {
+        let unheard = new_session
+            && m.answered_heartbeats > 1
+            && !m.is_silent(now, ctx.settings.heartbeat_interval_s);
+        if m.is_silent(now, ctx.settings.heartbeat_interval_s) {
             // What went unheard before or during a silence tells nothing of now.
-            m.reached();
-            m.answered = 0;
+            m.record_delivered();
+            m.answered_heartbeats = 0;
         }
-        m.count_use(now);
-        m.session = report.session;
-        m.seq = report.seq;
-        m.heard = Some(now);
-        m.missing = 0;
+        m.accumulate_usage(now);
+        m.incarnation = report.incarnation;
+        m.sequence = report.sequence;
+        m.last_heartbeat_at = Some(now);
+        m.absent_listings = 0;
         m.addr = Some(report.addr.clone());
-        m.kind = report.machine_type.clone();
+        m.machine_type = report.machine_type.clone();
         m.zone = report.zone.clone();
-        m.spot = report.spot;
-        let took_token = report.token == term && !m.under_token;
-        m.under_token = report.token == term;
+        m.spot = report.is_spot;
+        let took_token = report.fencing_token == term && !m.under_current_term;
+        m.under_current_term = report.fencing_token == term;
         if took_token || !beat {
-            m.reached();
-        } else if unheard || !m.under_token && m.answered > 1 {
-            m.missed(now);
+            m.record_delivered();
+        } else if unheard || !m.under_current_term && m.answered_heartbeats > 1 {
+            m.record_undelivered(now);
         }
         if beat {
-            m.answered += 1;
+            m.answered_heartbeats += 1;
         }
-        m.notice = report
-            .notice_s
+        m.eviction_at = report
+            .eviction_in_s
             .filter(|s| s.is_finite())
             .map(|s| now + (s.max(0.0) * 1e3) as u64);
-        if first && m.life == Life::Booting {
-            m.set_life(Life::Up);
+        if first && m.lifecycle == Lifecycle::Provisioning {
+            m.set_lifecycle(Lifecycle::Ready);
         }
-        if m.notice.is_some() && m.life == Life::Up {
-            m.set_life(Life::Draining);
+        if m.eviction_at.is_some() && m.lifecycle == Lifecycle::Ready {
+            m.set_lifecycle(Lifecycle::Draining);
         }
         if new_session {
             // A new session: the worker killed and forgot everything, and nothing sent under
             // the old one can start any more.
-            log::warn!("machine {id} began session {}", report.session);
-            m.do_lost = false;
-            m.images.clear();
+            log::warn!("machine {id} began session {}", report.incarnation);
+            m.command_unanswered = false;
+            m.cached_images.clear();
         }
         drop(m);
-        self.wake |= first;
+        self.scheduling_needed |= first;
         if new_session {
-            self.all_gone(&id, Gone::Session { inherited_too });
+            self.remove_terminated_placements(
+                &id,
+                TerminationEvidence::NewIncarnation {
+                    includes_inherited: inherited_too,
+                },
+            );
         }
-        self.compare(ctx, &id, &report.tasks, beat);
+        self.reconcile_tasks(ctx, &id, &report.tasks, beat);
         true
     }
 
     /// Takes in the report in a machine's own answer. False: it is none.
-    pub(super) fn hear_answer(&mut self, ctx: &mut Ctx, id: &str, body: &[u8]) -> bool {
-        match decode::<Report>(body) {
-            Ok(report) if report.machine == id => {
-                if report.token > self.term {
+    pub(super) fn apply_command_reply(
+        &mut self,
+        ctx: &mut LeaderContext,
+        id: &str,
+        body: &[u8],
+    ) -> bool {
+        match decode::<Heartbeat>(body) {
+            Ok(report) if report.machine_id == id => {
+                if report.fencing_token > self.term {
                     self.deposed = true;
                 } else {
-                    self.hear(ctx, report, false);
-                    self.take_exits(ctx, id);
+                    self.apply_heartbeat(ctx, report, false);
+                    self.process_exits(ctx, id);
                 }
                 true
             }
@@ -142,8 +163,14 @@
     }
 
     /// Compares a machine's newest report with what we hold.
-    fn compare(&mut self, ctx: &mut Ctx, id: &str, tasks: &[TaskReport], beat: bool) {
-        let now = ctx.now.ms;
+    fn reconcile_tasks(
+        &mut self,
+        ctx: &mut LeaderContext,
+        id: &str,
+        tasks: &[TaskStatus],
+        beat: bool,
+    ) {
+        let now = ctx.now.monotonic_ms;
         let mut adopt = vec![];
         let Some(mut m) = self.machines.edit(id) else {
             return;
@@ -151,10 +178,10 @@
         let mut seen = vec![false; m.placements.len()];
         // Whether commands in our last answer had their effect.
         let (mut heeded, mut missed) = (false, false);
-        let seq = m.seq;
+        let seq = m.sequence;
         for t in tasks {
-            let Some((job, index)) = parse_task(&t.task) else {
-                log::warn!("{id} reports a task named {:?}", t.task);
+            let Some((job, index)) = parse_task_name(&t.task_id) else {
+                log::warn!("{id} reports a task named {:?}", t.task_id);
                 continue;
             };
             let at = m
@@ -165,12 +192,12 @@
                 Some(at) => {
                     seen[at] = true;
                     let p = &mut m.placements[at];
-                    let phase = phase_of(t);
+                    let phase = reported_phase(t);
                     if matches!(p.phase, Phase::Exited { .. }) {
-                        missed |= p.clear_sent && beat;
+                        missed |= p.forget_sent && beat;
                         continue;
                     }
-                    heeded |= p.phase == Phase::Sent && p.sent_seq > 0;
+                    heeded |= p.phase == Phase::Sent && p.sent_sequence > 0;
                     if phase == Phase::Running && p.running_at.is_none() {
                         // An inherited task has run for an unknown while.
                         p.running_at = Some(now);
@@ -183,8 +210,8 @@
         // Absence proves something only in a report made under our token: what an earlier
         // leader sent can then no longer start.
         let mut gone = vec![];
-        if m.under_token {
-            let open = m.do_open.is_some() || m.do_lost;
+        if m.under_current_term {
+            let open = m.command_in_flight.is_some() || m.command_unanswered;
             let mut at = 0;
             m.placements.retain(|p| {
                 let here = seen[at];
@@ -192,48 +219,60 @@
                 if here {
                     return true;
                 }
-                if p.phase == Phase::Sent && p.sent_seq > 0 && beat {
-                    missed |= seq > p.sent_seq;
+                if p.phase == Phase::Sent && p.sent_sequence > 0 && beat {
+                    missed |= seq > p.sent_sequence;
                 }
                 let out = match p.phase {
-                    Phase::New | Phase::Stored | Phase::Ready => false,
-                    Phase::Exited { settled, .. } => settled && p.clear_sent && beat,
+                    Phase::Unstored | Phase::Stored | Phase::Startable => false,
+                    Phase::Exited {
+                        outcome_stored: settled,
+                        ..
+                    } => settled && p.forget_sent && beat,
                     _ if p.inherited => true,
                     // A `run` of ours may be on its way: by a direct command without answer,
                     // or in the answer to a report that is no older than this one.
-                    Phase::Sent => p.stop.is_some() && beat && !open && seq > p.sent_seq,
-                    _ => beat && !open && seq > p.sent_seq,
+                    Phase::Sent => {
+                        p.stop_grace_s.is_some() && beat && !open && seq > p.sent_sequence
+                    }
+                    _ => beat && !open && seq > p.sent_sequence,
                 };
-                heeded |= out && p.clear_sent;
+                heeded |= out && p.forget_sent;
                 // What exited was taken back when it did.
-                if out && p.present() {
+                if out && p.is_present() {
                     gone.push((p.job.clone(), p.index));
                 }
                 !out
             });
         }
         if heeded {
-            m.reached();
+            m.record_delivered();
         } else if missed {
-            m.missed(now);
+            m.record_undelivered(now);
         }
         drop(m);
         if !gone.is_empty() {
-            self.stale(id);
+            self.mark_group_stale(id);
         }
         for (job, index) in gone {
-            self.back(&job, index);
+            self.requeue_task(&job, index);
         }
         for (job, index, t) in adopt {
-            self.adopt(ctx, id, &job, index, &t);
+            self.adopt_unknown_task(ctx, id, &job, index, &t);
         }
     }
 
     /// A task that we hold nothing of. It counts until it is gone.
-    fn adopt(&mut self, ctx: &mut Ctx, id: &str, job: &str, index: u32, t: &TaskReport) {
-        let now = ctx.now.ms;
-        let phase = phase_of(t);
-        if phase_present(phase) {
+    fn adopt_unknown_task(
+        &mut self,
+        ctx: &mut LeaderContext,
+        id: &str,
+        job: &str,
+        index: u32,
+        t: &TaskStatus,
+    ) {
+        let now = ctx.now.monotonic_ms;
+        let phase = reported_phase(t);
+        if is_present_phase(phase) {
             log::warn!("{id} has {job}/{index}#{} unknown to us", t.attempt);
         }
         let spec = ctx
@@ -241,10 +280,10 @@
             .jobs
             .get(job)
             .and_then(|j| j.record.spec.as_ref());
-        let wanted = !self.machines.is_present(job, index) && self.works.contains_key(job);
+        let wanted = !self.machines.is_present(job, index) && self.jobs.contains_key(job);
         // What has exited needs no record.
-        let shard = phase_present(phase)
-            .then(|| self.shard_for(id, job, true))
+        let shard = is_present_phase(phase)
+            .then(|| self.assign_machine_group(id, job, true))
             .flatten();
         let Some(mut m) = self.machines.edit(id) else {
             return;
@@ -252,63 +291,69 @@
         m.placements.push(Placement {
             cpus: spec.map_or(0.0, |s| s.cpus),
             gpus: spec.map_or(0.0, |s| s.gpus),
-            memory: spec.map_or(0.0, |s| s.memory_gb),
+            memory_gb: spec.map_or(0.0, |s| s.memory_gb),
             team: spec.map_or(String::new(), |s| s.team.clone()),
             inherited: true,
-            stop: (!wanted).then_some(0.0),
+            stop_grace_s: (!wanted).then_some(0.0),
             running_at: Some(now),
             ..Placement::new(job, index, t.attempt, phase)
         });
-        if !phase_present(phase) {
+        if !is_present_phase(phase) {
             return;
         }
-        m.shard = shard;
+        m.machine_group = shard;
         drop(m);
-        if let Some(s) = shard.and_then(|n| self.shards.get_mut(&n)) {
-            s.add(now, job);
+        if let Some(s) = shard.and_then(|n| self.machine_groups.get_mut(&n)) {
+            s.add_task(now, job);
         }
-        if let Some(w) = self.works.get_mut(job) {
-            w.take(index);
-            self.unhold(job, index);
+        if let Some(w) = self.jobs.get_mut(job) {
+            w.remove_pending(index);
+            self.dequeue(job, index);
         }
     }
 
     /// Takes a task out of the queues.
-    pub fn unhold(&mut self, job: &str, index: u32) {
-        if !self.machines.is_held(job, index) {
+    pub fn dequeue(&mut self, job: &str, index: u32) {
+        if !self.machines.is_queued(job, index) {
             return;
         }
-        for id in self.machines.of_job(job) {
+        for id in self.machines.machines_of_job(job) {
             if let Some(mut m) = self.machines.edit(&id) {
-                m.held.retain(|h| (h.0.as_str(), h.1) != (job, index));
+                m.queued.retain(|h| (h.0.as_str(), h.1) != (job, index));
             }
         }
     }
 
     /// What exited tasks on a machine mean for their jobs.
-    pub(super) fn take_exits(&mut self, ctx: &mut Ctx, id: &str) {
-        let now = ctx.now.ms;
+    pub(super) fn process_exits(&mut self, ctx: &mut LeaderContext, id: &str) {
+        let now = ctx.now.monotonic_ms;
         let mut exits = vec![];
-        let works = &self.works;
+        let works = &self.jobs;
         let Some(mut m) = self.machines.edit(id) else {
             return;
         };
-        let kind = m.kind.clone();
+        let kind = m.machine_type.clone();
         for p in &mut m.placements {
-            let Phase::Exited { cause, settled } = &mut p.phase else {
+            let Phase::Exited {
+                cause,
+                outcome_stored: settled,
+            } = &mut p.phase
+            else {
                 continue;
             };
-            if *settled || (*cause == ExitCause::Done && p.clear_sent) {
+            if *settled || (*cause == ExitCause::Done && p.forget_sent) {
                 continue;
             }
             if *cause == ExitCause::Done {
                 // Settled once stored; `clear_sent` is set then.
                 let work = works.get(&p.job);
-                if let Some(w) = work.filter(|w| w.done.get(p.index)) {
+                if let Some(w) = work.filter(|w| w.done_tasks.get(p.index)) {
                     // Known before; if that is stored, nothing else will settle it.
-                    let chunk = w.chunks.get(&(p.index / k::DONE_CHUNK));
+                    let chunk = w.result_chunks.get(&(p.index / k::RESULT_CHUNK_TASKS));
                     *settled = chunk.is_some_and(|c| {
-                        !c.stored.dirty && !c.stored.writing && c.stored.version.is_some()
+                        !c.stored_state.dirty
+                            && !c.stored_state.write_in_flight
+                            && c.stored_state.revision.is_some()
                     });
                     continue;
                 }
@@ -321,44 +366,44 @@
                 *settled = true;
             }
             let run_s = p.running_at.map(|t| now.saturating_sub(t) as f64 / 1e3);
-            let run_s = run_s.filter(|_| !p.inherited && !p.run_untimed);
+            let run_s = run_s.filter(|_| !p.inherited && !p.run_time_unknown);
             exits.push((p.job.clone(), p.index, *cause, run_s));
         }
         drop(m);
         for (job, index, cause, run_s) in exits {
-            self.wake = true;
-            let Some(w) = self.works.get_mut(&job) else {
+            self.scheduling_needed = true;
+            let Some(w) = self.jobs.get_mut(&job) else {
                 continue;
             };
             if cause != ExitCause::Done {
-                self.failed(now, id, &job, index, cause);
+                self.handle_task_failure(now, id, &job, index, cause);
                 continue;
             }
             if w.gang.is_some() {
                 self.finish_gang(now, &job, &kind);
                 continue;
             }
-            if w.done.set(index) {
+            if w.done_tasks.set(index) {
                 w.done_count += 1;
-                w.take(index);
-                w.dropped.remove(&index);
+                w.remove_pending(index);
+                w.pruned_tasks.remove(&index);
                 if w.failures.job_is_broken() {
                     w.retry_at = now;
                 }
-                w.failures.task_done();
-                let chunk = w.chunks.entry(index / k::DONE_CHUNK);
-                let chunk = chunk.or_insert_with(|| Chunk::new(Stored::absent()));
-                if !chunk.stored.dirty {
-                    chunk.stored.dirty = true;
-                    chunk.since = now;
+                w.failures.record_success();
+                let chunk = w.result_chunks.entry(index / k::RESULT_CHUNK_TASKS);
+                let chunk = chunk.or_insert_with(|| ResultChunk::new(StoredState::absent()));
+                if !chunk.stored_state.dirty {
+                    chunk.stored_state.dirty = true;
+                    chunk.dirty_since = now;
                 }
-                self.due.insert(job.clone());
+                self.jobs_to_store.insert(job.clone());
                 if let Some(s) = run_s {
                     let spec = w.spec.clone();
-                    self.sched.record(&spec, &kind, s);
+                    self.scheduler.record_run(&spec, &kind, s);
                 }
             }
-            self.unhold(&job, index);
+            self.dequeue(&job, index);
         }
     }
 }
--- a/crates/control/src/leader/item.rs
+++ b/crates/control/src/leader/item.rs
@@ -2,39 +2,45 @@
 use super::*;
 
 /// A machine's name and an attempt on it.
-pub type On = (String, u64);
+pub type PlacementRef = (String, u64);
 
 /// What of the store one transaction changes, to be marked when its answer comes.
 #[derive(Clone, Debug)]
-pub enum Item {
+pub enum PendingWrite {
     /// The unstored attempts that the record now holds.
-    Shard {
-        shard: u32,
-        new: Vec<On>,
+    MachineGroup {
+        machine_group: u32,
+        new_placements: Vec<PlacementRef>,
     },
-    ShardGone {
-        shard: u32,
+    DeleteMachineGroup {
+        machine_group: u32,
     },
-    Done {
+    ResultChunk {
         job: String,
         chunk: u32,
-        exits: Vec<On>,
+        exited_placements: Vec<PlacementRef>,
     },
-    End {
+    JobEnd {
         job: String,
-        exits: Vec<On>,
+        exited_placements: Vec<PlacementRef>,
     },
-    DropDone {
+    DeleteResultChunk {
         key: String,
     },
 }
 
 /// The key of the record that an item changes.
-pub(super) fn item_key(item: &Item) -> String {
+pub(super) fn pending_write_key(item: &PendingWrite) -> String {
     match item {
-        Item::Shard { shard, .. } | Item::ShardGone { shard } => shard_key(*shard),
-        Item::Done { job, chunk, .. } => done_key(job, *chunk),
-        Item::End { job, .. } => records::job_key(job),
-        Item::DropDone { key } => key.clone(),
+        PendingWrite::MachineGroup {
+            machine_group: shard,
+            ..
+        }
+        | PendingWrite::DeleteMachineGroup {
+            machine_group: shard,
+        } => machine_group_key(*shard),
+        PendingWrite::ResultChunk { job, chunk, .. } => result_chunk_key(job, *chunk),
+        PendingWrite::JobEnd { job, .. } => records::job_key(job),
+        PendingWrite::DeleteResultChunk { key } => key.clone(),
     }
 }
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -3,11 +3,11 @@
 
 impl Leader {
     /// New jobs, and jobs that ended.
-    pub(super) fn take_changes(&mut self, ctx: &mut Ctx) {
-        let changed = std::mem::take(&mut ctx.replica.changed);
+    pub(super) fn apply_job_changes(&mut self, ctx: &mut LeaderContext) {
+        let changed = std::mem::take(&mut ctx.replica.changed_jobs);
         if !changed.is_empty() {
-            for e in std::mem::take(&mut self.early) {
-                self.load_done(ctx, e);
+            for e in std::mem::take(&mut self.unmatched_results) {
+                self.load_result_chunk(ctx, e);
             }
         }
         for id in changed {
@@ -18,95 +18,106 @@
                 (None, Some(spec)) => {
                     log::debug!(
                         "job {id}: {} x {:?} of {}",
-                        spec.tasks,
+                        spec.task_count,
                         spec.kind,
                         spec.class
                     );
-                    let at = j.record.at;
+                    let at = j.record.submitted_at_ms;
                     let spec = spec.clone();
-                    if spec.deadline_s.is_some() && !self.works.contains_key(&id) {
+                    if spec.deadline_s.is_some() && !self.jobs.contains_key(&id) {
                         let age = ctx.now.wall_ms.saturating_sub(at);
-                        self.dated_arrival(ctx.now.ms, age, &spec);
+                        self.record_deadline_arrival(ctx.now.monotonic_ms, age, &spec);
                     }
-                    let new = !self.works.contains_key(&id) && self.stage == Stage::Active;
+                    let new = !self.jobs.contains_key(&id) && self.stage == Stage::Active;
                     if new && spec.kind == JobKind::Service && spec.priority >= Priority::High {
-                        let now = ctx.now.ms;
-                        for _ in 0..spec.tasks.min(k::HIRE_MAX) {
-                            self.urgent_arrival(now);
+                        let now = ctx.now.monotonic_ms;
+                        for _ in 0..spec.task_count.min(k::MAX_MACHINES_PER_PROVISION) {
+                            self.record_urgent_arrival(now);
                         }
                     }
                     if new && spec.kind == JobKind::Gang {
-                        self.gang_arrival(ctx.now.ms, &spec);
+                        self.record_gang_arrival(ctx.now.monotonic_ms, &spec);
                     }
                     let work = self
-                        .works
+                        .jobs
                         .entry(id.clone())
-                        .or_insert_with(|| Work::new(spec, at));
-                    for index in self.machines.present_of(&id) {
-                        work.take(index);
+                        .or_insert_with(|| JobState::new(spec, at));
+                    for index in self.machines.present_tasks(&id) {
+                        work.remove_pending(index);
                     }
-                    self.wake = true;
+                    self.scheduling_needed = true;
                 }
                 (None, None) => log::error!("job {id} has neither description nor end"),
                 (Some(end), _) => {
-                    let urgent = self.works.get(&id).is_some_and(|w| {
+                    let urgent = self.jobs.get(&id).is_some_and(|w| {
                         w.spec.kind == JobKind::Service && w.spec.priority >= Priority::High
                     });
                     if urgent {
-                        self.urgent_departure(ctx.now.ms);
+                        self.record_urgent_departure(ctx.now.monotonic_ms);
                     }
-                    self.ended(&id, end);
+                    self.end_job(&id, end);
                 }
             }
         }
     }
 
-    pub(super) fn ended(&mut self, id: &str, end: End) {
-        if let Some(work) = self.works.remove(id) {
-            for (chunk, c) in work.chunks {
-                self.drops.push((done_key(id, chunk), c.stored));
+    pub(super) fn end_job(&mut self, id: &str, end: JobEnd) {
+        if let Some(work) = self.jobs.remove(id) {
+            for (chunk, c) in work.result_chunks {
+                self.garbage_records
+                    .push((result_chunk_key(id, chunk), c.stored_state));
             }
         }
-        self.due.remove(id);
-        self.sched.forget(id);
-        for machine in self.machines.of_job(id) {
+        self.jobs_to_store.remove(id);
+        self.scheduler.forget_job(id);
+        for machine in self.machines.machines_of_job(id) {
             let Some(mut m) = self.machines.edit(&machine) else {
                 continue;
             };
-            m.held.retain(|(j, _)| j != id);
+            m.queued.retain(|(j, _)| j != id);
             for p in m.placements.iter_mut().filter(|p| p.job == id) {
-                if let Phase::Exited { settled, .. } = &mut p.phase {
+                if let Phase::Exited {
+                    outcome_stored: settled,
+                    ..
+                } = &mut p.phase
+                {
                     *settled = true;
-                } else if end == End::Cancelled {
-                    p.stop = Some(0.0);
+                } else if end == JobEnd::Cancelled {
+                    p.stop_grace_s = Some(0.0);
                 }
             }
         }
-        self.wake = true;
+        self.scheduling_needed = true;
     }
 
-    pub fn counts(&self, job: &str) -> (u32, u32) {
-        let done = self.works.get(job).map_or(0, |w| w.done_count);
-        (done, self.machines.running_of(job))
+    pub fn task_counts(&self, job: &str) -> (u32, u32) {
+        let done = self.jobs.get(job).map_or(0, |w| w.done_count);
+        (done, self.machines.running_count(job))
     }
 
-    fn counts_of(&self, job: &str) -> Counts {
-        let (done, running) = self.counts(job);
-        Counts {
-            job: frame::name(job),
+    fn task_counts_message(&self, job: &str) -> TaskCounts {
+        let (done, running) = self.task_counts(job);
+        TaskCounts {
+            job_id: frame::to_padded_text(job),
             done: done.into(),
             running: running.into(),
         }
     }
 
     /// Counts of jobs whose running tasks changed since the last time.
-    pub fn changed_counts(&mut self) -> Vec<Counts> {
-        let changed = self.machines.take_counted();
-        changed.iter().map(|job| self.counts_of(job)).collect()
+    pub fn changed_counts(&mut self) -> Vec<TaskCounts> {
+        let changed = self.machines.take_jobs_with_changed_counts();
+        changed
+            .iter()
+            .map(|job| self.task_counts_message(job))
+            .collect()
     }
 
     /// Counts of all jobs that are not finished, for a node that knows none.
-    pub fn all_counts(&self) -> Vec<Counts> {
-        self.works.keys().map(|job| self.counts_of(job)).collect()
+    pub fn all_counts(&self) -> Vec<TaskCounts> {
+        self.jobs
+            .keys()
+            .map(|job| self.task_counts_message(job))
+            .collect()
     }
 }
--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -2,67 +2,68 @@
 use super::*;
 
 impl Leader {
-    pub(super) fn load(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
-        match &mut self.load {
+    pub(super) fn load_records(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        match &mut self.load_cursor {
             Some((prefix, after, asked, retry_at)) => {
-                if *asked || now < *retry_at || !ctx.reads.take(now, 1.0) {
+                if *asked || now < *retry_at || !ctx.read_budget.try_take(now, 1.0) {
                     return;
                 }
                 *asked = true;
                 let prefix = *prefix;
-                let mut path = format!("/kv?prefix={prefix}&limit={}", k::LIST_PAGE);
+                let mut path = format!("/kv?prefix={prefix}&limit={}", k::LIST_PAGE_ENTRIES);
                 if let Some(a) = after {
                     path.push_str(&format!("&since={a}"));
                 }
-                ctx.read(Call::Load { prefix }, path);
+                ctx.read_store(LeaderCall::LoadRecords { prefix }, path);
             }
             None => {
                 // The copy of the jobs was complete when the term began or is caught up by the
                 // watch; what changed before we looked is in `changed` or taken here.
                 let ids: Vec<String> = ctx.replica.jobs.keys().cloned().collect();
-                ctx.replica.changed = ids;
+                ctx.replica.changed_jobs = ids;
                 for seen in ctx
                     .replica
                     .jobs
                     .values()
-                    .filter_map(|j| j.record.seen.as_ref())
+                    .filter_map(|j| j.record.observed_run_times.as_ref())
                 {
-                    self.sched.learn(&seen.class, seen.ratio);
+                    self.scheduler
+                        .record_estimate_ratio(&seen.class, seen.run_to_estimate_ratio);
                 }
-                self.take_changes(ctx);
-                self.first = self.shards.is_empty();
-                let period = (ctx.set.report_s * 1.25 * 1e3) as u64;
-                self.set_stage(Stage::Settling {
-                    until: self.since.max(now.saturating_sub(period)) + period,
+                self.apply_job_changes(ctx);
+                self.is_first_leader = self.machine_groups.is_empty();
+                let period = (ctx.settings.heartbeat_interval_s * 1.25 * 1e3) as u64;
+                self.set_stage(Stage::AwaitingHeartbeats {
+                    until: self.term_began_at.max(now.saturating_sub(period)) + period,
                 });
             }
         }
     }
 
-    pub(super) fn loaded(&mut self, ctx: &mut Ctx, result: CallResult) {
-        let now = ctx.now.ms;
-        let Some((prefix, _, asked, retry_at)) = &mut self.load else {
+    pub(super) fn load_records_done(&mut self, ctx: &mut LeaderContext, result: CallResult) {
+        let now = ctx.now.monotonic_ms;
+        let Some((prefix, _, asked, retry_at)) = &mut self.load_cursor else {
             return;
         };
         *asked = false;
-        *retry_at = now + k::STATE_RETRY_MS;
+        *retry_at = now + k::STORE_RETRY_BACKOFF_MS;
         let Ok((200, body)) = result else {
-            log::debug!("load failed: {}", describe(&result));
+            log::debug!("load failed: {}", describe_result(&result));
             return;
         };
         let prefix = *prefix;
-        let next = if prefix == MACHINES {
-            page::<ShardRecord>(&body).map(|(items, next)| {
+        let next = if prefix == MACHINE_GROUPS_PREFIX {
+            page::<MachineGroupRecord>(&body).map(|(items, next)| {
                 for e in items {
-                    self.load_shard(now, e);
+                    self.load_machine_group(now, e);
                 }
                 next
             })
         } else {
-            page::<DoneRecord>(&body).map(|(items, next)| {
+            page::<ResultChunkRecord>(&body).map(|(items, next)| {
                 for e in items {
-                    self.load_done(ctx, e);
+                    self.load_result_chunk(ctx, e);
                 }
                 next
             })
@@ -71,20 +72,25 @@
             Ok(next) => next,
             Err(e) => return log::error!("what is stored under {prefix} is not understood: {e}"),
         };
-        self.load = match next {
+        self.load_cursor = match next {
             Some(last) => Some((prefix, Some(last), false, now)),
-            None if prefix == MACHINES => Some((DONE, None, false, now)),
+            None if prefix == MACHINE_GROUPS_PREFIX => {
+                Some((RESULT_CHUNKS_PREFIX, None, false, now))
+            }
             None => None,
         };
     }
 
-    pub(super) fn load_shard(&mut self, now: Ms, e: Entry<ShardRecord>) {
-        let number = e.key.strip_prefix(MACHINES).and_then(|n| n.parse().ok());
+    pub(super) fn load_machine_group(&mut self, now: Millis, e: Entry<MachineGroupRecord>) {
+        let number = e
+            .key
+            .strip_prefix(MACHINE_GROUPS_PREFIX)
+            .and_then(|n| n.parse().ok());
         let Some(number) = number else {
             return log::error!("unexpected record at {}", e.key);
         };
-        let mut shard = Shard::new(Stored::at(e.version));
-        shard.bytes += json_len(&e.value);
+        let mut shard = MachineGroup::new(StoredState::at_revision(e.revision));
+        shard.estimated_bytes += json_size_bytes(&e.value);
         shard.jobs = e.value.jobs.iter().map(|j| j.0.clone()).collect();
         let record = e.value;
         let mut doubles = vec![];
@@ -94,8 +100,8 @@
             let Some(mut m) = self.machines.edit(&id) else {
                 continue;
             };
-            m.loaded = true;
-            let known = m.shard.filter(|n| *n != number);
+            m.loaded_from_store = true;
+            let known = m.machine_group.filter(|n| *n != number);
             for TaskRow(job, index, attempt) in tasks {
                 let Some(JobRow(job, team, cpus, gpus, memory)) = record.jobs.get(job) else {
                     log::error!("a record of {id} is not understood");
@@ -110,7 +116,7 @@
                 m.placements.push(Placement {
                     cpus: *cpus,
                     gpus: *gpus,
-                    memory: *memory,
+                    memory_gb: *memory,
                     team: record.teams.get(*team).cloned().unwrap_or_default(),
                     inherited: true,
                     ..Placement::new(job, index, attempt, Phase::Sent)
@@ -122,49 +128,66 @@
                     doubles.push((id, first));
                 }
                 None => {
-                    m.shard = Some(number);
+                    m.machine_group = Some(number);
                     shard.machines.insert(id);
                 }
             }
         }
-        shard.stored.stale = true;
-        self.shards.insert(number, shard);
+        shard.stored_state.stale = true;
+        self.machine_groups.insert(number, shard);
         for (id, first) in doubles {
-            self.settle_double(now, &id, first, number);
+            self.resolve_duplicate_machine(now, &id, first, number);
         }
     }
 
-    pub(super) fn load_done(&mut self, ctx: &mut Ctx, e: Entry<DoneRecord>) {
-        let Some((job, chunk)) = e.key.strip_prefix(DONE).and_then(parse_task) else {
+    pub(super) fn load_result_chunk(
+        &mut self,
+        ctx: &mut LeaderContext,
+        e: Entry<ResultChunkRecord>,
+    ) {
+        let Some((job, chunk)) = e
+            .key
+            .strip_prefix(RESULT_CHUNKS_PREFIX)
+            .and_then(parse_task_name)
+        else {
             return;
         };
         let known = ctx.replica.jobs.get(job);
         match known {
             Some(j) if j.record.end.is_none() => {
                 let Some(spec) = &j.record.spec else { return };
-                let at = j.record.at;
+                let at = j.record.submitted_at_ms;
                 let work = self
-                    .works
+                    .jobs
                     .entry(job.into())
-                    .or_insert_with(|| Work::new(spec.clone(), at));
-                if let Err(why) = work.done.merge(chunk * k::DONE_CHUNK, &e.value.bits) {
+                    .or_insert_with(|| JobState::new(spec.clone(), at));
+                if let Err(why) = work
+                    .done_tasks
+                    .merge(chunk * k::RESULT_CHUNK_TASKS, &e.value.done_bitmap)
+                {
                     log::error!("results of {} not understood: {why}", e.key);
                 }
-                let done = &work.done;
-                work.pending.retain(|n| !done.get(*n));
-                if work.pending.is_empty() {
-                    self.due.insert(job.into());
+                let done = &work.done_tasks;
+                work.pending_tasks.retain(|n| !done.get(*n));
+                if work.pending_tasks.is_empty() {
+                    self.jobs_to_store.insert(job.into());
                 }
-                work.done_count = work.spec.tasks - work.pending.len() as u32;
+                work.done_count = work.spec.task_count - work.pending_tasks.len() as u32;
                 if work.done_count > 0 {
-                    work.failures.task_done();
+                    work.failures.record_success();
                 }
-                let stored = Stored::at(e.version);
-                work.chunks.insert(chunk, Chunk::new(stored));
-                self.sched.inherit(job, e.value.runs, e.value.run_s);
+                let stored = StoredState::at_revision(e.revision);
+                work.result_chunks.insert(chunk, ResultChunk::new(stored));
+                self.scheduler.inherit_observed_runs(
+                    job,
+                    e.value.observed_runs,
+                    e.value.mean_run_s,
+                );
             }
-            Some(_) => self.drops.push((e.key, Stored::at(e.version))),
-            None => self.early.push(e),
+            Some(_) => self
+                .garbage_records
+                .push((e.key, StoredState::at_revision(e.revision))),
+            None => self.unmatched_results.push(e),
         }
     }
 }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -2,25 +2,29 @@
 //!
 //! The two rules everything here serves: a `run` goes out only after its placement is stored
 //! under our term, and a task moves only when it is proven gone.
-use crate::api::{CallError, CallResult, Ms, Now, Target};
-use crate::fleet::Fleet;
-use crate::ledger::{Chunk, Life, Machine, Machines, Phase, Placement, Reach, Shard, Stored, Work};
+use crate::api::{CallError, CallResult, Millis, Now, Target};
+use crate::fleet::Autoscaler;
+use crate::ledger::{
+    JobState, Lifecycle, Machine, MachineGroup, Machines, Phase, Placement, Reachability,
+    ResultChunk, StoredState,
+};
 use crate::limits::{StoreLimits, TransactionSize};
-use crate::node::{describe, Out};
+use crate::node::{describe_result, Outbox};
 use crate::records::{
-    self, done_key, job_key, parse_task, shard_key, DoneRecord, End, JobRecord, JobRow, MachineRow,
-    ShardRecord, TaskRow, Value, DONE, LEADER, MACHINES,
+    self, job_key, machine_group_key, parse_task_name, result_chunk_key, JobEnd, JobRecord, JobRow,
+    MachineGroupRecord, MachineRow, ResultChunkRecord, StoredRecord, TaskRow, LEADER_KEY,
+    MACHINE_GROUPS_PREFIX, RESULT_CHUNKS_PREFIX,
 };
 use crate::replica::Replica;
 use crate::schedule::Scheduler;
-use crate::settings::{Bucket, Settings};
+use crate::settings::{Settings, TokenBucket};
 use rand::{rngs::SmallRng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_constants as k;
-use stonegw_wire::frame::{self, Counts};
+use stonegw_wire::frame::{self, TaskCounts};
 use stonegw_wire::msg::{
-    decode, encode, json_len, Catalog, Command, Condition, Entry, ExitCause, JobKind, MachineType,
-    Orders, Priority, Report, TaskReport, Txn, TxnAnswer, Write,
+    decode, encode, json_size_bytes, Catalog, Command, CommandBatch, Condition, Entry, ExitCause,
+    Heartbeat, JobKind, MachineType, Priority, TaskStatus, Txn, TxnResponse, Write,
 };
 
 mod answers;
@@ -48,13 +52,13 @@
 #[cfg(test)]
 mod world_tests;
 
-pub use calls::Call;
-pub use context::Ctx;
-use item::item_key;
-pub use item::{Item, On};
+pub use calls::LeaderCall;
+pub use context::LeaderContext;
+use item::pending_write_key;
+pub use item::{PendingWrite, PlacementRef};
 use page::page;
-pub use placement_rules::{immediate, zone_allows};
-use reported_phase::{phase_of, phase_present};
+pub use placement_rules::{is_immediate, zone_allows};
+use reported_phase::{is_present_phase, reported_phase};
 
 /// How far the leader has come since it began.
 #[derive(Clone, Debug, PartialEq)]
@@ -62,8 +66,8 @@
     /// Reading what is stored.
     Loading,
     /// Hearing the workers for one report period.
-    Settling {
-        until: Ms,
+    AwaitingHeartbeats {
+        until: Millis,
     },
     Active,
 }
@@ -76,68 +80,68 @@
     /// Deposed of its own will: the lease is to be ended.
     pub resigned: bool,
     /// When the last renewal that succeeded was sent.
-    renewed_at: Ms,
-    renew_sent: Ms,
+    lease_renewed_at: Millis,
+    last_renewal_sent_at: Millis,
     pub stage: Stage,
-    pub since: Ms,
-    watch_at: Ms,
-    renew_at: Ms,
-    renewing: bool,
-    load: Option<(&'static str, Option<String>, bool, Ms)>,
-    next_attempt: u64,
+    pub term_began_at: Millis,
+    next_machine_check_at: Millis,
+    next_renewal_at: Millis,
+    renewal_in_flight: bool,
+    load_cursor: Option<(&'static str, Option<String>, bool, Millis)>,
+    last_attempt: u64,
     /// For waits that are spread by chance.
     rng: SmallRng,
     pub catalog: Catalog,
     pub machines: Machines,
-    pub works: BTreeMap<String, Work>,
+    pub jobs: BTreeMap<String, JobState>,
     /// Jobs with results or an end to be stored.
-    pub(crate) due: BTreeSet<String>,
+    pub(crate) jobs_to_store: BTreeSet<String>,
     /// Whose results are looked at first, since the last transaction had no room for them.
-    results_next: String,
+    next_results_job: String,
     /// The records that tell of the machines.
-    shards: BTreeMap<u32, Shard>,
+    machine_groups: BTreeMap<u32, MachineGroup>,
     /// What was written without an answer: its stamp is read before it is written again.
-    doubts: Vec<Item>,
+    unacknowledged_writes: Vec<PendingWrite>,
     /// Bytes of JSON that a record may take.
-    value_bytes: usize,
+    max_value_bytes: usize,
     /// The time of the present turn.
-    now_ms: Ms,
+    now_ms: Millis,
     /// Machines that were deleted, with the time: late lists and reports still name them.
-    pub deleted: HashMap<String, Ms>,
-    flushing: bool,
-    flush_at: Ms,
+    pub deleted_machines: HashMap<String, Millis>,
+    commit_in_flight: bool,
+    next_commit_at: Millis,
     /// When placements that are not urgent may go out again, and what only tidies up.
-    batch_at: Ms,
-    tidy_at: Ms,
-    summary_at: Ms,
+    next_batch_at: Millis,
+    collect_garbage_at: Millis,
+    next_summary_at: Millis,
     /// Until when zones are taken as cut off, and most machines' silence as our own trouble.
-    cut_until: BTreeMap<String, Ms>,
-    many_until: Ms,
-    many_deaf_until: Ms,
+    zones_partitioned_until: BTreeMap<String, Millis>,
+    mass_silence_until: Millis,
+    mass_unreachable_until: Millis,
     /// `d/` records of jobs that have ended.
-    drops: Vec<(String, Stored)>,
+    garbage_records: Vec<(String, StoredState)>,
     /// `d/` records of jobs that our copy does not show yet.
-    early: Vec<Entry<DoneRecord>>,
-    rereading: bool,
-    pub sched: Scheduler,
-    pub fleet: Fleet,
+    unmatched_results: Vec<Entry<ResultChunkRecord>>,
+    revision_read_in_flight: bool,
+    pub scheduler: Scheduler,
+    pub autoscaler: Autoscaler,
     /// Something changed that could let work start.
-    pub wake: bool,
+    pub scheduling_needed: bool,
     /// Nothing was placed before us.
-    pub first: bool,
+    pub is_first_leader: bool,
     /// A task of a gang changed, so that the gang's state may have to.
     pub gangs_changed: bool,
     /// When all gangs are looked at again in any case.
-    pub gangs_at: Ms,
+    pub next_gang_check_at: Millis,
 }
 
 /// Why everything on a machine is gone.
 #[derive(Clone, Copy)]
-enum Gone {
+enum TerminationEvidence {
     /// The cloud has deleted it.
-    Machine,
+    MachineDeleted,
     /// Its worker began a new session.
-    Session { inherited_too: bool },
+    NewIncarnation { includes_inherited: bool },
 }
 
 impl Leader {
@@ -145,8 +149,8 @@
     pub fn new(
         term: u64,
         lease: u64,
-        now: Ms,
-        leased_at: Ms,
+        now: Millis,
+        leased_at: Millis,
         catalog: Catalog,
         set: &Settings,
     ) -> Leader {
@@ -155,43 +159,43 @@
             lease,
             deposed: false,
             resigned: false,
-            renewed_at: leased_at,
-            renew_sent: leased_at,
+            lease_renewed_at: leased_at,
+            last_renewal_sent_at: leased_at,
             stage: Stage::Loading,
-            since: now,
-            watch_at: 0,
-            renew_at: now,
-            renewing: false,
-            load: Some((MACHINES, None, false, now)),
-            next_attempt: term * k::ATTEMPTS_PER_TERM,
+            term_began_at: now,
+            next_machine_check_at: 0,
+            next_renewal_at: now,
+            renewal_in_flight: false,
+            load_cursor: Some((MACHINE_GROUPS_PREFIX, None, false, now)),
+            last_attempt: term * k::ATTEMPTS_PER_TERM,
             rng: SmallRng::seed_from_u64(term),
             catalog,
             machines: Machines::default(),
-            works: BTreeMap::new(),
-            due: BTreeSet::new(),
-            results_next: String::new(),
-            shards: BTreeMap::new(),
-            doubts: vec![],
-            value_bytes: set.value_bytes,
+            jobs: BTreeMap::new(),
+            jobs_to_store: BTreeSet::new(),
+            next_results_job: String::new(),
+            machine_groups: BTreeMap::new(),
+            unacknowledged_writes: vec![],
+            max_value_bytes: set.max_value_bytes,
             now_ms: now,
-            deleted: HashMap::new(),
-            flushing: false,
-            flush_at: 0,
-            batch_at: 0,
-            tidy_at: 0,
-            summary_at: 0,
-            cut_until: BTreeMap::new(),
-            many_until: 0,
-            many_deaf_until: 0,
-            drops: vec![],
-            early: vec![],
-            rereading: false,
-            sched: Scheduler::default(),
-            fleet: Fleet::new(term, now),
-            wake: true,
-            first: false,
+            deleted_machines: HashMap::new(),
+            commit_in_flight: false,
+            next_commit_at: 0,
+            next_batch_at: 0,
+            collect_garbage_at: 0,
+            next_summary_at: 0,
+            zones_partitioned_until: BTreeMap::new(),
+            mass_silence_until: 0,
+            mass_unreachable_until: 0,
+            garbage_records: vec![],
+            unmatched_results: vec![],
+            revision_read_in_flight: false,
+            scheduler: Scheduler::default(),
+            autoscaler: Autoscaler::new(term, now),
+            scheduling_needed: true,
+            is_first_leader: false,
             gangs_changed: true,
-            gangs_at: now,
+            next_gang_check_at: now,
         }
     }
 
@@ -201,118 +205,123 @@
     }
 
     /// The machine type of this name.
-    pub fn kind(&self, name: &str) -> Option<&MachineType> {
-        self.catalog.types.iter().find(|t| t.name == name)
+    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        self.catalog.machine_types.iter().find(|t| t.name == name)
     }
 
     /// What goes on by itself, once a turn.
-    pub fn advance(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
+    pub fn advance(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
         self.now_ms = now;
-        self.lower_value_bytes(ctx.limits.value_bytes());
-        if now >= self.renew_at && !self.renewing {
-            self.renewing = true;
-            self.renew_sent = now;
-            self.renew_at = now + k::RENEW_MS;
-            ctx.reads.force(now, 1.0);
+        self.lower_max_value_bytes(ctx.store_limits.max_value_bytes());
+        if now >= self.next_renewal_at && !self.renewal_in_flight {
+            self.renewal_in_flight = true;
+            self.last_renewal_sent_at = now;
+            self.next_renewal_at = now + k::LEADER_RENEW_INTERVAL_MS;
+            ctx.read_budget.take_unconditionally(now, 1.0);
             let path = format!("/grants/{}/touch", self.lease);
-            let wait = k::STATE_TIMEOUT_MS;
-            let call = Call::Renew { sent: now };
-            ctx.call(call, Target::State, "POST", path, vec![], wait);
+            let wait = k::STORE_TIMEOUT_MS;
+            let call = LeaderCall::RenewLease { sent_at: now };
+            ctx.send_call(call, Target::Store, "POST", path, vec![], wait);
         }
         // After a pause another may lead: neither a command nor a write nor a rental goes out.
-        if !ctx.proven {
+        if !ctx.leadership_confirmed {
             return;
         }
         match self.stage {
-            Stage::Loading => self.load(ctx),
-            Stage::Settling { until } if now >= until => {
+            Stage::Loading => self.load_records(ctx),
+            Stage::AwaitingHeartbeats { until } if now >= until => {
                 self.set_stage(Stage::Active);
-                self.wake = true;
+                self.scheduling_needed = true;
                 // What was late before our time tells nothing of the present load.
-                for w in self.works.values_mut() {
-                    w.missed = w.due_s(ctx.now.wall_ms).is_some_and(|d| d <= 0.0);
+                for w in self.jobs.values_mut() {
+                    w.deadline_missed = w
+                        .seconds_to_deadline(ctx.now.wall_ms)
+                        .is_some_and(|d| d <= 0.0);
                 }
             }
-            Stage::Settling { .. } | Stage::Active => {}
+            Stage::AwaitingHeartbeats { .. } | Stage::Active => {}
         }
         if self.stage == Stage::Loading {
             return;
         }
-        self.take_changes(ctx);
-        self.take_reports_via_state(ctx);
-        if now >= self.watch_at {
-            self.watch_at = now + k::WATCH_MACHINES_MS;
-            self.watch_machines(ctx);
-            self.inspect(ctx);
+        self.apply_job_changes(ctx);
+        self.apply_relayed_heartbeats(ctx);
+        if now >= self.next_machine_check_at {
+            self.next_machine_check_at = now + k::SILENCE_CHECK_INTERVAL_MS;
+            self.check_machines(ctx);
+            self.probe_unreachable_machines(ctx);
         }
         self.advance_gangs(ctx);
         if self.stage == Stage::Active {
             self.schedule(ctx);
-            if now >= self.summary_at {
-                self.summary_at = now + k::SUMMARY_MS;
-                self.summarize(ctx);
+            if now >= self.next_summary_at {
+                self.next_summary_at = now + k::SUMMARY_LOG_INTERVAL_MS;
+                self.log_summary(ctx);
             }
         }
         // A request to the cloud can be carried out late, after another leader has made its own
         // plans: so none without a lease that surely holds.
-        if (self.stage == Stage::Active || self.first) && self.confirmed(ctx) {
-            self.run_fleet(ctx);
+        if (self.stage == Stage::Active || self.is_first_leader) && self.lease_is_valid(ctx) {
+            self.run_autoscaler(ctx);
         }
-        self.flush(ctx);
-        self.command(ctx);
+        self.commit(ctx);
+        self.send_direct_commands(ctx);
     }
 
     /// Our lease surely holds: no other can lead yet.
-    pub fn confirmed(&self, ctx: &Ctx) -> bool {
-        ctx.now.ms < self.renewed_at + ctx.set.tuning.leader_ttl_ms
+    pub fn lease_is_valid(&self, ctx: &LeaderContext) -> bool {
+        ctx.now.monotonic_ms < self.lease_renewed_at + ctx.settings.tuning.leader_lease_ttl_ms
     }
 
     /// Reports that came through the state service.
-    fn take_reports_via_state(&mut self, ctx: &mut Ctx) {
-        for report in std::mem::take(&mut ctx.replica.reports_via_state) {
-            if report.token > self.term {
+    fn apply_relayed_heartbeats(&mut self, ctx: &mut LeaderContext) {
+        for report in std::mem::take(&mut ctx.replica.relayed_heartbeats) {
+            if report.fencing_token > self.term {
                 self.deposed = true;
                 return;
             }
             // Without our token it may be as old as the record, and shows only that the machine was
             // there; after a change of leader a cut zone has no other way to tell even that.
-            let id = report.machine.clone();
-            if self.hear(ctx, report, false) {
+            let id = report.machine_id.clone();
+            if self.apply_heartbeat(ctx, report, false) {
                 if let Some(mut m) = self.machines.edit(&id) {
-                    m.via_state = true;
+                    m.via_store = true;
                 }
-                self.take_exits(ctx, &id);
+                self.process_exits(ctx, &id);
             }
         }
     }
 
     /// Takes the answer to one of its calls.
-    pub fn call_done(&mut self, ctx: &mut Ctx, call: Call, result: CallResult) {
+    pub fn call_done(&mut self, ctx: &mut LeaderContext, call: LeaderCall, result: CallResult) {
         match call {
-            Call::Renew { sent } => {
+            LeaderCall::RenewLease { sent_at: sent } => {
                 // The answer to an earlier try leaves the present one open.
-                self.renewing &= sent != self.renew_sent;
+                self.renewal_in_flight &= sent != self.last_renewal_sent_at;
                 if let Ok((200, _)) = result {
-                    self.renewed_at = self.renewed_at.max(sent);
+                    self.lease_renewed_at = self.lease_renewed_at.max(sent);
                 }
                 if let Ok((404, _)) = result {
                     log::warn!("term {}: the lease is gone", self.term);
                     self.deposed = true;
                 }
             }
-            Call::Load { .. } => self.loaded(ctx, result),
-            Call::Flush { items, size } => self.flushed(ctx, items, size, result),
-            Call::Reread { item } => self.reread_done(ctx, item, result),
-            Call::Do {
+            LeaderCall::LoadRecords { .. } => self.load_records_done(ctx, result),
+            LeaderCall::Commit {
+                writes: items,
+                size,
+            } => self.commit_done(ctx, items, size, result),
+            LeaderCall::ReadRevision { write: item } => self.read_revision_done(ctx, item, result),
+            LeaderCall::DirectCommand {
                 machine,
-                session,
-                runs,
+                incarnation: session,
+                started_attempts: runs,
             } => {
-                self.done_do(ctx, &machine, session, runs, result);
+                self.direct_command_done(ctx, &machine, session, runs, result);
             }
-            Call::Inspect { machine } => self.inspected(ctx, &machine, result),
-            Call::Fleet(c) => self.fleet_done(ctx, c, result),
+            LeaderCall::Probe { machine } => self.probe_done(ctx, &machine, result),
+            LeaderCall::Autoscaler(c) => self.cloud_call_done(ctx, c, result),
         }
     }
 }
--- a/crates/control/src/leader/place.rs
+++ b/crates/control/src/leader/place.rs
@@ -4,151 +4,161 @@
 impl Leader {
     /// Puts a waiting task on a machine. Nothing goes out before it is stored. False: it waits
     /// on, for there is no room in the record.
-    pub fn place(&mut self, machine: &str, job: &str, index: u32) -> bool {
+    pub fn place_task(&mut self, machine: &str, job: &str, index: u32) -> bool {
         // The last guard against running twice, whatever went wrong before.
         if self.machines.is_present(job, index) {
             log::error!("{job}/{index} may already be on a machine; not placed again");
-            if let Some(w) = self.works.get_mut(job) {
-                w.take(index);
+            if let Some(w) = self.jobs.get_mut(job) {
+                w.remove_pending(index);
             }
             return true;
         }
-        let attempt = self.new_attempt();
+        let attempt = self.allocate_attempt();
         self.place_attempt(machine, job, index, attempt)
     }
 
     /// A number that no attempt of any leader has had.
-    pub fn new_attempt(&mut self) -> u64 {
-        self.next_attempt += 1;
-        self.next_attempt
+    pub fn allocate_attempt(&mut self) -> u64 {
+        self.last_attempt += 1;
+        self.last_attempt
     }
 
     /// Puts a task on a machine under an attempt that may have other tasks. False: there is no room
     /// in the record.
     pub fn place_attempt(&mut self, machine: &str, job: &str, index: u32, attempt: u64) -> bool {
-        let Some(shard) = self.shard_for(machine, job, false) else {
+        let Some(shard) = self.assign_machine_group(machine, job, false) else {
             return false;
         };
-        let (Some(mut m), Some(w)) = (self.machines.edit(machine), self.works.get_mut(job)) else {
+        let (Some(mut m), Some(w)) = (self.machines.edit(machine), self.jobs.get_mut(job)) else {
             return false;
         };
-        w.take(index);
-        w.started(self.now_ms);
-        m.shard = Some(shard);
+        w.remove_pending(index);
+        w.record_start(self.now_ms);
+        m.machine_group = Some(shard);
         log::debug!("place {job}/{index}#{attempt} on {machine}");
         m.placements.push(Placement {
             cpus: w.spec.cpus,
             gpus: w.spec.gpus,
-            memory: w.spec.memory_gb,
+            memory_gb: w.spec.memory_gb,
             team: w.spec.team.clone(),
-            ..Placement::new(job, index, attempt, Phase::New)
+            ..Placement::new(job, index, attempt, Phase::Unstored)
         });
         m.idle_since = None;
-        if let Some(s) = self.shards.get_mut(&shard) {
-            s.add(self.now_ms, job);
-            s.urgent |= w.urgent();
+        if let Some(s) = self.machine_groups.get_mut(&shard) {
+            s.add_task(self.now_ms, job);
+            s.is_urgent |= w.is_urgent();
         }
         let cache = self
             .catalog
-            .types
+            .machine_types
             .iter()
-            .find(|t| t.name == m.kind)
+            .find(|t| t.name == m.machine_type)
             .map_or(0.0, |t| t.cache_gb);
-        m.use_image(&w.spec.image, w.spec.image_gb, cache);
+        m.record_image_use(&w.spec.image, w.spec.image_size_gb, cache);
         true
     }
 
     /// Whether some record can tell of one more task of the job on the machine.
-    pub fn record_has_room(&self, m: &Machine, job: &str) -> bool {
-        let own = m.shard.and_then(|n| self.shards.get(&n));
-        own.is_some_and(|s| s.bytes + s.more(job) <= self.value_bytes)
-            || k::SHARD_HEAD_BYTES + bytes_to_move(m, job) <= self.value_bytes
+    pub fn group_record_has_capacity(&self, m: &Machine, job: &str) -> bool {
+        let own = m.machine_group.and_then(|n| self.machine_groups.get(&n));
+        own.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(job) <= self.max_value_bytes)
+            || k::MACHINE_GROUP_OVERHEAD_BYTES + bytes_to_move(m, job) <= self.max_value_bytes
     }
 
     /// The record that will tell of one more task of the job on the machine. A machine whose record
     /// is full moves to another with all that may be on it. `None`: no record has room for that.
     /// `force`: the task is there already and must be told of.
-    fn shard_of(&self, m: &Machine, job: &str, force: bool) -> Option<u32> {
-        let fits = |s: &Shard| force || s.bytes + s.more(job) <= self.value_bytes;
-        if let Some(n) = m.shard {
-            if self.shards.get(&n).is_some_and(fits) {
+    fn find_machine_group(&self, m: &Machine, job: &str, force: bool) -> Option<u32> {
+        let fits = |s: &MachineGroup| {
+            force || s.estimated_bytes + s.bytes_for_task(job) <= self.max_value_bytes
+        };
+        if let Some(n) = m.machine_group {
+            if self.machine_groups.get(&n).is_some_and(fits) {
                 return Some(n);
             }
         }
         let bytes = bytes_to_move(m, job);
-        if !force && k::SHARD_HEAD_BYTES + bytes > self.value_bytes {
+        if !force && k::MACHINE_GROUP_OVERHEAD_BYTES + bytes > self.max_value_bytes {
             return None;
         }
-        let busy = m.placements.iter().any(Placement::present);
+        let busy = m.placements.iter().any(Placement::is_present);
         // A write on its way does not tell of the machine, and once it is answered the old record
         // would no longer wait. One that waits for others would keep these tasks waiting as well.
-        let takes = |s: &Shard| s.successors.is_empty() && !(busy && s.stored.writing);
-        let roomy = |s: &Shard| s.bytes.max(bytes) <= self.value_bytes / 2;
-        let open = self
-            .shards
-            .iter()
-            .find(|(_, s)| takes(s) && roomy(s) && s.machines.len() < k::SHARD_MACHINES);
+        let takes =
+            |s: &MachineGroup| s.successors.is_empty() && !(busy && s.stored_state.write_in_flight);
+        let roomy = |s: &MachineGroup| s.estimated_bytes.max(bytes) <= self.max_value_bytes / 2;
+        let open = self.machine_groups.iter().find(|(_, s)| {
+            takes(s) && roomy(s) && s.machines.len() < k::MACHINE_GROUP_MAX_MACHINES
+        });
         let open = open.map(|(n, _)| *n);
-        open.or_else(|| Some(self.free_number()))
+        open.or_else(|| Some(self.free_group_number()))
     }
 
-    pub(super) fn shard_for(&mut self, machine: &str, job: &str, force: bool) -> Option<u32> {
+    pub(super) fn assign_machine_group(
+        &mut self,
+        machine: &str,
+        job: &str,
+        force: bool,
+    ) -> Option<u32> {
         let m = self.machines.get(machine)?;
-        let n = self.shard_of(m, job, force)?;
-        let was = m.shard.filter(|was| *was != n);
+        let n = self.find_machine_group(m, job, force)?;
+        let was = m.machine_group.filter(|was| *was != n);
         let rows: Vec<String> = m
             .placements
             .iter()
-            .filter(|p| p.present())
+            .filter(|p| p.is_present())
             .map(|p| p.job.clone())
             .collect();
-        if let Some(s) = was.and_then(|w| self.shards.get_mut(&w)) {
+        if let Some(s) = was.and_then(|w| self.machine_groups.get_mut(&w)) {
             s.machines.remove(machine);
-            s.stored.stale = true;
+            s.stored_state.stale = true;
             // What may be on the machine stands here until it stands there.
             if !rows.is_empty() {
                 s.successors.insert(n);
             }
         }
-        let new = || Shard::new(Stored::absent());
-        let s = self.shards.entry(n).or_insert_with(new);
+        let new = || MachineGroup::new(StoredState::absent());
+        let s = self.machine_groups.entry(n).or_insert_with(new);
         if s.machines.insert(machine.to_owned()) {
-            s.bytes += k::SHARD_MACHINE_BYTES;
+            s.estimated_bytes += k::MACHINE_GROUP_BYTES_PER_MACHINE;
             for job in rows {
-                s.add(self.now_ms, &job);
+                s.add_task(self.now_ms, &job);
             }
         }
         Some(n)
     }
 
     /// What the machine's record holds is more than need be.
-    pub(crate) fn stale(&mut self, machine: &str) {
-        let shard = self.machines.get(machine).and_then(|m| m.shard);
-        if let Some(s) = shard.and_then(|n| self.shards.get_mut(&n)) {
-            s.stored.stale = true;
+    pub(crate) fn mark_group_stale(&mut self, machine: &str) {
+        let shard = self.machines.get(machine).and_then(|m| m.machine_group);
+        if let Some(s) = shard.and_then(|n| self.machine_groups.get_mut(&n)) {
+            s.stored_state.stale = true;
         }
     }
 
     /// A task is proven gone from where it was: it waits again, unless it is elsewhere.
-    pub fn back(&mut self, job: &str, index: u32) {
-        self.wake = true;
-        self.gangs_changed |= self.works.get(job).is_some_and(|w| w.gang.is_some());
+    pub fn requeue_task(&mut self, job: &str, index: u32) {
+        self.scheduling_needed = true;
+        self.gangs_changed |= self.jobs.get(job).is_some_and(|w| w.gang.is_some());
         // A task that is held waits already; waiting twice, it would start twice.
-        let elsewhere = self.machines.is_present(job, index) || self.machines.is_held(job, index);
-        if let (false, Some(w)) = (elsewhere, self.works.get_mut(job)) {
-            w.give_back(index);
+        let elsewhere = self.machines.is_present(job, index) || self.machines.is_queued(job, index);
+        if let (false, Some(w)) = (elsewhere, self.jobs.get_mut(job)) {
+            w.requeue(index);
         }
     }
 
     /// Everything on the machine is proven gone.
-    pub(super) fn all_gone(&mut self, id: &str, how: Gone) {
+    pub(super) fn remove_terminated_placements(&mut self, id: &str, how: TerminationEvidence) {
         let Some(mut m) = self.machines.edit(id) else {
             return;
         };
         let mut gone = vec![];
         m.placements.retain(|p| {
-            if let Gone::Session { inherited_too } = how {
-                if p.unsent() || p.inherited && !inherited_too {
+            if let TerminationEvidence::NewIncarnation {
+                includes_inherited: inherited_too,
+            } = how
+            {
+                if p.is_unsent() || p.inherited && !inherited_too {
                     return true;
                 }
             }
@@ -159,10 +169,10 @@
         });
         drop(m);
         if !gone.is_empty() {
-            self.stale(id);
+            self.mark_group_stale(id);
         }
         for (job, index) in gone {
-            self.back(&job, index);
+            self.requeue_task(&job, index);
         }
     }
 }
@@ -171,9 +181,11 @@
 fn bytes_to_move(m: &Machine, job: &str) -> usize {
     let mut jobs: BTreeSet<&str> = BTreeSet::from([job]);
     let mut tasks = 1;
-    for p in m.placements.iter().filter(|p| p.present()) {
+    for p in m.placements.iter().filter(|p| p.is_present()) {
         jobs.insert(&p.job);
         tasks += 1;
     }
-    k::SHARD_MACHINE_BYTES + tasks * k::SHARD_TASK_BYTES + jobs.len() * k::SHARD_JOB_BYTES
+    k::MACHINE_GROUP_BYTES_PER_MACHINE
+        + tasks * k::MACHINE_GROUP_BYTES_PER_TASK
+        + jobs.len() * k::MACHINE_GROUP_BYTES_PER_JOB
 }
--- a/crates/control/src/leader/reported_phase.rs
+++ b/crates/control/src/leader/reported_phase.rs
@@ -1,22 +1,22 @@
 //! The phase of a placement as a worker reports it.
 use crate::ledger::Phase;
-use stonegw_wire::msg::{ExitCause, TaskReport, TaskState};
+use stonegw_wire::msg::{ExitCause, TaskState, TaskStatus};
 
 /// The phase that a worker reports for a task.
-pub(super) fn phase_of(t: &TaskReport) -> Phase {
+pub(super) fn reported_phase(t: &TaskStatus) -> Phase {
     match t.state {
         TaskState::Fetching | TaskState::Other => Phase::Fetching,
-        TaskState::Gathering => Phase::Gathering,
+        TaskState::WaitingForGang => Phase::WaitingForGang,
         TaskState::Running => Phase::Running,
-        TaskState::Saving => Phase::Saving,
+        TaskState::Checkpointing => Phase::Checkpointing,
         TaskState::Exited => Phase::Exited {
-            cause: t.why.unwrap_or(ExitCause::Other),
-            settled: false,
+            cause: t.exit_cause.unwrap_or(ExitCause::Other),
+            outcome_stored: false,
         },
     }
 }
 
 /// A task in this phase still takes its room.
-pub(super) fn phase_present(phase: Phase) -> bool {
+pub(super) fn is_present_phase(phase: Phase) -> bool {
     !matches!(phase, Phase::Exited { .. })
 }
--- a/crates/control/src/leader/reread.rs
+++ b/crates/control/src/leader/reread.rs
@@ -3,39 +3,44 @@
 
 impl Leader {
     /// Reads the stamp of one key whose last write is in doubt.
-    pub(super) fn reread(&mut self, ctx: &mut Ctx) -> bool {
-        let now = ctx.now.ms;
-        let Some(item) = self.doubts.last().cloned() else {
+    pub(super) fn read_unacknowledged_revision(&mut self, ctx: &mut LeaderContext) -> bool {
+        let now = ctx.now.monotonic_ms;
+        let Some(item) = self.unacknowledged_writes.last().cloned() else {
             return false;
         };
-        if ctx.reads.take(now, 1.0) {
-            self.rereading = true;
-            let path = format!("/kv/{}", item_key(&item));
-            ctx.read(Call::Reread { item }, path);
+        if ctx.read_budget.try_take(now, 1.0) {
+            self.revision_read_in_flight = true;
+            let path = format!("/kv/{}", pending_write_key(&item));
+            ctx.read_store(LeaderCall::ReadRevision { write: item }, path);
         }
         true
     }
 
     /// Takes the stamp that was read.
-    pub(super) fn reread_done(&mut self, ctx: &Ctx, item: Item, result: CallResult) {
-        self.rereading = false;
+    pub(super) fn read_revision_done(
+        &mut self,
+        ctx: &LeaderContext,
+        item: PendingWrite,
+        result: CallResult,
+    ) {
+        self.revision_read_in_flight = false;
         let version = match result {
             Ok((200, body)) => decode::<Entry<serde::de::IgnoredAny>>(&body)
-                .map(|e| e.version)
+                .map(|e| e.revision)
                 .ok(),
             Ok((404, _)) => Some(0),
             _ => None,
         };
         match version {
             Some(v) => {
-                self.doubts.pop();
-                if let Some(s) = self.stored_of(&item) {
-                    s.version = Some(v);
-                    s.writing = false;
+                self.unacknowledged_writes.pop();
+                if let Some(s) = self.stored_state_of(&item) {
+                    s.revision = Some(v);
+                    s.write_in_flight = false;
                     s.dirty = true;
                 }
             }
-            None => self.flush_at = ctx.now.ms + k::STATE_RETRY_MS,
+            None => self.next_commit_at = ctx.now.monotonic_ms + k::STORE_RETRY_BACKOFF_MS,
         }
     }
 }
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -1,17 +1,17 @@
 //! Puts the ends and the results of jobs that are due into a transaction.
-use super::draft::Draft;
+use super::draft::TransactionBuilder;
 use super::*;
 
 /// What was done of a job, or of one chunk of it, and is still shown by a worker.
-fn done_exits(machines: &Machines, job: &str, chunk: Option<u32>) -> Vec<On> {
+fn done_placements(machines: &Machines, job: &str, chunk: Option<u32>) -> Vec<PlacementRef> {
     let mut out = vec![];
-    for id in machines.of_job(job) {
+    for id in machines.machines_of_job(job) {
         for p in machines.get(&id).iter().flat_map(|m| &m.placements) {
             let done = Phase::Exited {
                 cause: ExitCause::Done,
-                settled: false,
+                outcome_stored: false,
             };
-            let here = chunk.is_none_or(|c| p.index / k::DONE_CHUNK == c);
+            let here = chunk.is_none_or(|c| p.index / k::RESULT_CHUNK_TASKS == c);
             if p.job == job && p.phase == done && here {
                 out.push((id.clone(), p.attempt));
             }
@@ -22,84 +22,108 @@
 
 impl Leader {
     /// Jobs of which all tasks are done: users wait for it.
-    pub(super) fn flush_ends(&mut self, ctx: &Ctx, draft: &mut Draft) {
-        for id in &self.due {
-            let (Some(w), Some(j)) = (self.works.get_mut(id), ctx.replica.jobs.get(id)) else {
+    pub(super) fn add_job_end_writes(
+        &mut self,
+        ctx: &LeaderContext,
+        draft: &mut TransactionBuilder,
+    ) {
+        for id in &self.jobs_to_store {
+            let (Some(w), Some(j)) = (self.jobs.get_mut(id), ctx.replica.jobs.get(id)) else {
                 continue;
             };
-            if w.done_count != w.spec.tasks || w.ending {
+            if w.done_count != w.spec.task_count || w.end_write_in_flight {
                 continue;
             }
             let record = JobRecord {
                 spec: None,
-                end: Some(End::Done),
-                seen: self.sched.seen(&w.spec),
+                end: Some(JobEnd::Done),
+                observed_run_times: self.scheduler.observed_run_times(&w.spec),
                 ..j.record.clone()
             };
-            let item = Item::End {
+            let item = PendingWrite::JobEnd {
                 job: id.clone(),
-                exits: done_exits(&self.machines, id, None),
+                exited_placements: done_placements(&self.machines, id, None),
             };
-            let value = Some(Value::Job(Box::new(record)));
-            if draft.add(job_key(id), j.version, value, item) {
-                w.ending = true;
+            let value = Some(StoredRecord::Job(Box::new(record)));
+            if draft.add_write(job_key(id), j.revision, value, item) {
+                w.end_write_in_flight = true;
             }
         }
     }
 
     /// Results of jobs that go on. They wait a little, so that one write holds several; the
     /// worker tells them until they are stored.
-    pub(super) fn flush_results(&mut self, ctx: &Ctx, draft: &mut Draft, most: usize) {
-        let now = ctx.now.ms;
+    pub(super) fn add_result_writes(
+        &mut self,
+        ctx: &LeaderContext,
+        draft: &mut TransactionBuilder,
+        most: usize,
+    ) {
+        let now = ctx.now.monotonic_ms;
         // The more jobs have results, the longer each waits: together they take a part of what
         // may be written.
-        let rate = (ctx.set.state_write_rps * k::LEADER_WRITES * k::RESULTS_PART).max(0.1);
-        let wait = k::RESULTS_MS.max((self.due.len() as f64 / rate * 1e3) as u64);
+        let rate =
+            (ctx.settings.store_writes_per_s * k::LEADER_WRITE_FRACTION * k::RESULT_WRITE_FRACTION)
+                .max(0.1);
+        let wait =
+            k::RESULT_COMMIT_DELAY_MS.max((self.jobs_to_store.len() as f64 / rate * 1e3) as u64);
         let mut left = most;
         let mut settled = vec![];
         // In turn, so that none is passed over for long.
-        let next = std::mem::take(&mut self.results_next);
-        for id in self.due.range(next.clone()..).chain(self.due.range(..next)) {
+        let next = std::mem::take(&mut self.next_results_job);
+        for id in self
+            .jobs_to_store
+            .range(next.clone()..)
+            .chain(self.jobs_to_store.range(..next))
+        {
             if left == 0 {
-                self.results_next = id.clone();
+                self.next_results_job = id.clone();
                 break;
             }
-            let Some(w) = self.works.get_mut(id) else {
+            let Some(w) = self.jobs.get_mut(id) else {
                 settled.push(id.clone());
                 continue;
             };
-            if w.done_count == w.spec.tasks {
+            if w.done_count == w.spec.task_count {
                 continue;
             }
-            for (n, c) in &mut w.chunks {
-                let (true, Some(version), false) =
-                    (c.stored.dirty, c.stored.version, c.stored.writing)
-                else {
+            for (n, c) in &mut w.result_chunks {
+                let (true, Some(version), false) = (
+                    c.stored_state.dirty,
+                    c.stored_state.revision,
+                    c.stored_state.write_in_flight,
+                ) else {
                     continue;
                 };
-                if now < c.since + wait || left == 0 {
+                if now < c.dirty_since + wait || left == 0 {
                     continue;
                 }
-                let bits = w.done.encode(n * k::DONE_CHUNK, k::DONE_CHUNK);
-                let item = Item::Done {
+                let bits = w
+                    .done_tasks
+                    .encode(n * k::RESULT_CHUNK_TASKS, k::RESULT_CHUNK_TASKS);
+                let item = PendingWrite::ResultChunk {
                     job: id.clone(),
                     chunk: *n,
-                    exits: done_exits(&self.machines, id, Some(*n)),
+                    exited_placements: done_placements(&self.machines, id, Some(*n)),
                 };
-                let (runs, run_s) = self.sched.observed(id);
-                let value = Value::Done(DoneRecord { bits, runs, run_s });
-                if draft.add(done_key(id, *n), version, Some(value), item) {
+                let (runs, run_s) = self.scheduler.observed_runs(id);
+                let value = StoredRecord::ResultChunk(ResultChunkRecord {
+                    done_bitmap: bits,
+                    observed_runs: runs,
+                    mean_run_s: run_s,
+                });
+                if draft.add_write(result_chunk_key(id, *n), version, Some(value), item) {
                     left -= 1;
-                    c.stored.dirty = false;
-                    c.stored.writing = true;
+                    c.stored_state.dirty = false;
+                    c.stored_state.write_in_flight = true;
                 }
             }
-            if !w.chunks.values().any(|c| c.stored.dirty) {
+            if !w.result_chunks.values().any(|c| c.stored_state.dirty) {
                 settled.push(id.clone());
             }
         }
         for id in settled {
-            self.due.remove(&id);
+            self.jobs_to_store.remove(&id);
         }
     }
 }
