--- a/crates/control/src/leader/split_tests.rs
+++ b/crates/control/src/leader/split_tests.rs
@@ -1,34 +1,37 @@
 use super::world_tests::*;
 use super::*;
 
-const LARGE: usize = 8 * 1024;
-const SMALL: usize = 2 * 1024;
+const LARGE_VALUE_BYTES: usize = 8 * 1024;
+const SMALL_VALUE_BYTES: usize = 2 * 1024;
 
 /// One record as the last release wrote it, of machines with eight tasks of a job each.
-fn stored_large() -> StateService {
-    let mut state = StateService::default();
-    let mut record = ShardRecord {
+fn store_with_large_group() -> FakeStore {
+    let mut state = FakeStore::default();
+    let mut record = MachineGroupRecord {
         teams: vec!["red".into()],
-        ..ShardRecord::default()
+        ..MachineGroupRecord::default()
     };
     for n in 0..32 {
         let job = format!("run-{n}");
         record.jobs.push(JobRow(job, 0, 1.0, 0.0, 2.0));
         let rows = (0..8).map(|i| TaskRow(n, i, 71_000_000 + (n * 10) as u64 + u64::from(i)));
-        let (id, kind, zone) = (machine(n), "small".to_owned(), "a".to_owned());
+        let (id, kind, zone) = (machine_id(n), "small".to_owned(), "a".to_owned());
         let row = MachineRow(id, kind, zone, false, rows.collect());
         record.machines.push(row);
     }
-    let size = json_len(&record);
-    assert!(size > 2 * SMALL && size <= LARGE, "{size}");
-    state.put(&shard_key(0), Value::Shard(record));
+    let size = json_size_bytes(&record);
+    assert!(
+        size > 2 * SMALL_VALUE_BYTES && size <= LARGE_VALUE_BYTES,
+        "{size}"
+    );
+    state.put(&machine_group_key(0), StoredRecord::MachineGroup(record));
     state
 }
 
 /// Every placement that the records tell of, and how many of them do.
-fn told(state: &StateService) -> BTreeMap<(String, u64), usize> {
+fn stored_placements(state: &FakeStore) -> BTreeMap<(String, u64), usize> {
     let mut told = BTreeMap::new();
-    for (_, record) in state.shards() {
+    for (_, record) in state.machine_groups() {
         for MachineRow(id, _, _, _, tasks) in record.machines {
             for TaskRow(_, _, attempt) in tasks {
                 *told.entry((id.clone(), attempt)).or_default() += 1;
@@ -38,72 +41,82 @@
     told
 }
 
-fn assert_held_once(leader: &Leader) {
+fn assert_placed_once(leader: &Leader) {
     let mut seen = BTreeSet::new();
     for m in leader.machines.values() {
         for p in &m.placements {
             let key = (m.id.clone(), p.job.clone(), p.index, p.attempt);
-            assert!(seen.insert(key), "{} twice on {}", p.task(), m.id);
+            assert!(seen.insert(key), "{} twice on {}", p.task_name(), m.id);
         }
-        let records = leader.shards.values();
+        let records = leader.machine_groups.values();
         let records = records.filter(|s| s.machines.contains(&m.id)).count();
         assert_eq!(records, 1, "{}", m.id);
     }
 }
 
 /// Writes until nothing is due, and looks after each transaction whether all that was stored still is.
-fn settle(world: &mut World, leader: &mut Leader, all: &BTreeMap<(String, u64), usize>) {
+fn run_until_all_stored(
+    world: &mut LeaderFixture,
+    leader: &mut Leader,
+    all: &BTreeMap<(String, u64), usize>,
+) {
     for _ in 0..60 {
-        world.turn(leader);
-        let now = told(&world.state);
+        world.run_turn(leader);
+        let now = stored_placements(&world.store);
         let lost: Vec<_> = all.keys().filter(|key| !now.contains_key(*key)).collect();
         assert!(lost.is_empty(), "in no record: {lost:?}");
     }
-    let over = world.state.shards().filter(|(_, r)| json_len(r) > SMALL);
+    let over = world
+        .store
+        .machine_groups()
+        .filter(|(_, r)| json_size_bytes(r) > SMALL_VALUE_BYTES);
     assert_eq!(over.count(), 0);
-    assert!(told(&world.state).values().all(|n| *n == 1));
-    assert!(!leader.shards.values().any(Shard::due));
+    assert!(stored_placements(&world.store).values().all(|n| *n == 1));
+    assert!(!leader
+        .machine_groups
+        .values()
+        .any(MachineGroup::needs_write));
 }
 
 /// A record of the time before the limit was lowered could never be written again, and what was placed
 /// on its machines never started.
 #[test]
 fn a_record_above_the_limit_is_divided_and_none_of_it_is_lost() {
-    let mut world = World::new(stored_large(), SMALL, 4);
-    let mut leader = world.lead(2);
-    let all = told(&world.state);
-    world.turn(&mut leader);
+    let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 4);
+    let mut leader = world.start_leader(2);
+    let all = stored_placements(&world.store);
+    world.run_turn(&mut leader);
     world.submit(&mut leader, "run-99", 1);
     let placed = (0..120).any(|_| {
-        world.turn(&mut leader);
-        leader.place(&machine(3), "run-99", 0)
+        world.run_turn(&mut leader);
+        leader.place_task(&machine_id(3), "run-99", 0)
     });
     assert!(placed);
-    settle(&mut world, &mut leader, &all);
-    assert!(world.most_writes <= 4);
-    let m = leader.machines.get(&machine(3)).expect("there");
-    assert!(m.placements.iter().any(|p| p.phase == Phase::Ready));
-    assert_held_once(&leader);
+    run_until_all_stored(&mut world, &mut leader, &all);
+    assert!(world.max_writes_seen <= 4);
+    let m = leader.machines.get(&machine_id(3)).expect("there");
+    assert!(m.placements.iter().any(|p| p.phase == Phase::Startable));
+    assert_placed_once(&leader);
 }
 
 /// The process ends after any of the transactions of a division: the next leader finds machines in two
 /// records and must neither count their tasks twice nor lose them when it tidies up.
 #[test]
 fn a_division_cut_short_leaves_no_task_twice_and_none_lost() {
-    let all = told(&stored_large());
+    let all = stored_placements(&store_with_large_group());
     for ends_after in 0..12 {
-        let mut world = World::new(stored_large(), SMALL, 4);
-        let mut first = world.lead(2);
-        while world.transactions < ends_after && world.ms < 120_000 {
-            world.turn(&mut first);
+        let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 4);
+        let mut first = world.start_leader(2);
+        while world.transactions < ends_after && world.now_ms < 120_000 {
+            world.run_turn(&mut first);
         }
         drop(first);
-        let mut second = world.lead(3);
-        assert_held_once(&second);
+        let mut second = world.start_leader(3);
+        assert_placed_once(&second);
         let held = second.machines.values().map(|m| m.placements.len());
         assert_eq!(held.sum::<usize>(), all.len());
-        settle(&mut world, &mut second, &all);
-        assert_held_once(&second);
+        run_until_all_stored(&mut world, &mut second, &all);
+        assert_placed_once(&second);
     }
 }
 
@@ -111,11 +124,11 @@
 /// record before the new one is stored.
 #[test]
 fn a_divided_record_stays_until_its_parts_are_stored() {
-    let mut world = World::new(stored_large(), SMALL, 32);
-    let mut leader = world.lead(2);
-    let all = told(&world.state);
-    leader.batch_at = world.ms + 1_000;
-    settle(&mut world, &mut leader, &all);
+    let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 32);
+    let mut leader = world.start_leader(2);
+    let all = stored_placements(&world.store);
+    leader.next_batch_at = world.now_ms + 1_000;
+    run_until_all_stored(&mut world, &mut leader, &all);
 }
 
 /// The old record is within the limit again, and tells of a machine further on: what only the other
@@ -125,148 +138,162 @@
     let record = |attempts: &[u64]| {
         let rows = attempts.iter().map(|a| TaskRow(0, *a as u32, *a));
         let (kind, zone) = ("small".to_owned(), "a".to_owned());
-        Value::Shard(ShardRecord {
+        StoredRecord::MachineGroup(MachineGroupRecord {
             teams: vec!["red".into()],
             jobs: vec![JobRow("run-1".into(), 0, 1.0, 0.0, 2.0)],
-            machines: vec![MachineRow(machine(1), kind, zone, false, rows.collect())],
+            machines: vec![MachineRow(machine_id(1), kind, zone, false, rows.collect())],
         })
     };
-    let mut state = StateService::default();
-    state.put(&shard_key(0), record(&[1]));
-    state.put(&shard_key(7), record(&[1, 2]));
-    let all = told(&state);
-    let mut world = World::new(state, LARGE, 1);
-    let mut leader = world.lead(2);
-    assert_held_once(&leader);
-    leader.batch_at = world.ms + 1_000;
-    settle(&mut world, &mut leader, &all);
-    assert_held_once(&leader);
+    let mut state = FakeStore::default();
+    state.put(&machine_group_key(0), record(&[1]));
+    state.put(&machine_group_key(7), record(&[1, 2]));
+    let all = stored_placements(&state);
+    let mut world = LeaderFixture::new(state, LARGE_VALUE_BYTES, 1);
+    let mut leader = world.start_leader(2);
+    assert_placed_once(&leader);
+    leader.next_batch_at = world.now_ms + 1_000;
+    run_until_all_stored(&mut world, &mut leader, &all);
+    assert_placed_once(&leader);
 }
 
 /// A machine with more tasks than any record has room for keeps the record it has; a task that was to
 /// go there and can't be stored goes elsewhere instead of waiting for ever.
 #[test]
-fn what_fits_no_record_stays_told_and_holds_nothing_up() {
-    let mut world = World::new(StateService::default(), LARGE, 8);
-    let mut leader = world.lead(2);
-    let id = machine(1);
+fn what_fits_no_record_stays_stored_and_blocks_nothing() {
+    let mut world = LeaderFixture::new(FakeStore::default(), LARGE_VALUE_BYTES, 8);
+    let mut leader = world.start_leader(2);
+    let id = machine_id(1);
     leader
         .machines
         .add(&id, || Machine::new(&id, "small", "a", false, 0));
     for n in 0..50 {
         world.submit(&mut leader, &format!("run-{n}"), 2);
-        assert!(leader.place(&id, &format!("run-{n}"), 0));
+        assert!(leader.place_task(&id, &format!("run-{n}"), 0));
     }
-    world.turn(&mut leader);
-    let all = told(&world.state);
+    world.run_turn(&mut leader);
+    let all = stored_placements(&world.store);
     assert_eq!(all.len(), 50);
-    assert!(leader.place(&id, "run-7", 1));
-    world.limits.lower_value_to(SMALL);
+    assert!(leader.place_task(&id, "run-7", 1));
+    world.store_limits.set_max_value_bytes(SMALL_VALUE_BYTES);
     for _ in 0..20 {
-        world.turn(&mut leader);
+        world.run_turn(&mut leader);
     }
-    assert_eq!(told(&world.state), all);
+    assert_eq!(stored_placements(&world.store), all);
     assert!(!leader.machines.is_present("run-7", 1));
-    assert!(leader.works["run-7"].pending.contains(&1));
-    assert!(!leader.place(&id, "run-7", 1));
+    assert!(leader.jobs["run-7"].pending_tasks.contains(&1));
+    assert!(!leader.place_task(&id, "run-7", 1));
 }
 
 /// The state service lowers both limits without a word: all that waits to be stored still is, and no
 /// transaction follows a refused one at once (the world looks after that).
 #[test]
-fn limits_lowered_without_a_word_hold_nothing_up() {
-    for (value, writes) in [(LARGE, 3), (SMALL, 8), (SMALL, 1)] {
-        let mut world = World::new(stored_large(), LARGE, 8);
-        let mut leader = world.lead(2);
-        let all = told(&world.state);
+fn unannounced_lower_limits_block_nothing() {
+    for (value, writes) in [
+        (LARGE_VALUE_BYTES, 3),
+        (SMALL_VALUE_BYTES, 8),
+        (SMALL_VALUE_BYTES, 1),
+    ] {
+        let mut world = LeaderFixture::new(store_with_large_group(), LARGE_VALUE_BYTES, 8);
+        let mut leader = world.start_leader(2);
+        let all = stored_placements(&world.store);
         for n in 0..200 {
-            let id = machine(n);
+            let id = machine_id(n);
             leader
                 .machines
                 .add(&id, || Machine::new(&id, "small", "a", false, 0));
             world.submit(&mut leader, &format!("run-{}", 100 + n), 1);
         }
-        world.state.value_bytes = value;
-        world.state.writes = writes;
+        world.store.max_value_bytes = value;
+        world.store.max_transaction_writes = writes;
         let mut waiting: BTreeSet<usize> = (0..200).collect();
         for _ in 0..900 {
-            waiting.retain(|n| !leader.place(&machine(*n), &format!("run-{}", 100 + n), 0));
-            world.turn(&mut leader);
-            let now = told(&world.state);
+            waiting.retain(|n| !leader.place_task(&machine_id(*n), &format!("run-{}", 100 + n), 0));
+            world.run_turn(&mut leader);
+            let now = stored_placements(&world.store);
             assert!(all.keys().all(|key| now.contains_key(key)));
         }
         assert!(waiting.is_empty(), "{waiting:?}");
         let placed = leader.machines.values().flat_map(|m| &m.placements);
-        assert_eq!(placed.filter(|p| p.phase == Phase::Ready).count(), 200);
-        assert!(world.refused > 0 && world.refused < 30, "{}", world.refused);
-        assert!(world.state.shards().all(|(_, r)| json_len(&r) <= value));
+        assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 200);
+        assert!(
+            world.refused_transactions > 0 && world.refused_transactions < 30,
+            "{}",
+            world.refused_transactions
+        );
+        assert!(world
+            .store
+            .machine_groups()
+            .all(|(_, r)| json_size_bytes(&r) <= value));
     }
 }
 
 /// A transaction that meets a lowered rate is sent again later, and smaller after a while.
 #[test]
 fn a_lowered_rate_delays_and_loses_nothing() {
-    let mut world = World::new(StateService::default(), SMALL, 32);
-    let mut leader = world.lead(2);
+    let mut world = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 32);
+    let mut leader = world.start_leader(2);
     for n in 0..60 {
-        let id = machine(n);
+        let id = machine_id(n);
         leader
             .machines
             .add(&id, || Machine::new(&id, "small", "a", false, 0));
         world.submit(&mut leader, &format!("run-{n}"), 9);
         for index in 0..9 {
-            assert!(leader.place(&id, &format!("run-{n}"), index));
+            assert!(leader.place_task(&id, &format!("run-{n}"), index));
         }
     }
     // More than so many writes at once are never taken.
-    world.state.burst = 3;
+    world.store.max_burst_writes = 3;
     for _ in 0..400 {
-        world.turn(&mut leader);
+        world.run_turn(&mut leader);
     }
     let placed = leader.machines.values().flat_map(|m| &m.placements);
-    assert_eq!(placed.filter(|p| p.phase == Phase::Ready).count(), 540);
+    assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 540);
 }
 
 /// A cancellation of a job accepted under the larger limit could not be stored, nor told to its user.
 #[test]
 fn a_cancelled_record_above_the_limit_is_stored_without_its_description() {
-    let spec = spec("run-1", 3);
+    let spec = job_spec("run-1", 3);
     let record = records::JobRecord::submitted(&spec, 5).cancelled();
-    let size = json_len(&record);
-    assert_eq!(record.clone().within(size).spec, Some(spec.clone()));
-    let short = record.within(size - 1);
+    let size = json_size_bytes(&record);
+    assert_eq!(record.clone().fit_within(size).spec, Some(spec.clone()));
+    let short = record.fit_within(size - 1);
     assert_eq!(
         (short.spec, short.end),
-        (None, Some(records::End::Cancelled))
+        (None, Some(records::JobEnd::Cancelled))
     );
     let open = records::JobRecord::submitted(&spec, 5);
-    assert_eq!(open.within(10).spec, Some(spec));
+    assert_eq!(open.fit_within(10).spec, Some(spec));
 }
 
 /// Six machines with tasks share a record that has no room for one more task.
-fn full_record(world: &mut World) -> Leader {
-    let mut leader = world.lead(2);
+fn leader_with_full_group_record(world: &mut LeaderFixture) -> Leader {
+    let mut leader = world.start_leader(2);
     add_machines(&mut leader, 1..7);
     for n in 0.. {
         let job = format!("run-{n}");
         // Only what is stored was measured; before, it counts for more than it takes.
         for _ in 0..30 {
-            world.turn(&mut leader);
+            world.run_turn(&mut leader);
         }
-        let record = leader.shards.get(&0);
-        if record.is_some_and(|s| s.bytes + s.more(&job) > SMALL) {
+        let record = leader.machine_groups.get(&0);
+        if record.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(&job) > SMALL_VALUE_BYTES) {
             break;
         }
         world.submit(&mut leader, &job, 1);
-        assert!(leader.place(&machine(1 + n % 6), &job, 0));
+        assert!(leader.place_task(&machine_id(1 + n % 6), &job, 0));
     }
-    assert_eq!(leader.shards.len(), 1);
-    assert!(!leader.shards.values().any(Shard::due));
+    assert_eq!(leader.machine_groups.len(), 1);
+    assert!(!leader
+        .machine_groups
+        .values()
+        .any(MachineGroup::needs_write));
     leader
 }
 
 fn add_machines(leader: &mut Leader, numbers: std::ops::Range<usize>) {
-    for id in numbers.map(machine) {
+    for id in numbers.map(machine_id) {
         let new = || Machine::new(&id, "small", "a", false, 0);
         leader.machines.add(&id, new);
     }
@@ -274,20 +301,23 @@
 
 /// The busy machine is placed on and moves from its full record to another, which waits for company
 /// before it is written; tidying up the full one does not.
-fn move_busy_machine(world: &mut World, leader: &mut Leader) {
+fn move_busy_machine(world: &mut LeaderFixture, leader: &mut Leader) {
     world.submit(leader, "run-99", 1);
-    assert!(leader.place(&machine(1), "run-99", 0));
-    let record = leader.machines.get(&machine(1)).and_then(|m| m.shard);
+    assert!(leader.place_task(&machine_id(1), "run-99", 0));
+    let record = leader
+        .machines
+        .get(&machine_id(1))
+        .and_then(|m| m.machine_group);
     assert!(record.is_some_and(|n| n != 0), "not moved");
-    leader.batch_at = world.ms + 1_000;
-    leader.tidy_at = world.ms;
+    leader.next_batch_at = world.now_ms + 1_000;
+    leader.collect_garbage_at = world.now_ms;
 }
 
-fn one_transaction(world: &mut World, leader: &mut Leader) {
+fn run_until_next_transaction(world: &mut LeaderFixture, leader: &mut Leader) {
     let before = world.transactions;
     for _ in 0..100 {
-        world.turn(leader);
-        assert_all_told(world, leader);
+        world.run_turn(leader);
+        assert_all_stored(world, leader);
         if world.transactions > before {
             return;
         }
@@ -296,10 +326,10 @@
 }
 
 /// Whatever may be on a machine stands in a stored record.
-fn assert_all_told(world: &World, leader: &Leader) {
-    let told = told(&world.state);
+fn assert_all_stored(world: &LeaderFixture, leader: &Leader) {
+    let told = stored_placements(&world.store);
     for m in leader.machines.values() {
-        let sendable = |p: &&Placement| p.present() && p.phase != Phase::New;
+        let sendable = |p: &&Placement| p.is_present() && p.phase != Phase::Unstored;
         for p in m.placements.iter().filter(sendable) {
             let key = (m.id.clone(), p.attempt);
             assert!(told.contains_key(&key), "in no record: {key:?}");
@@ -307,16 +337,19 @@
     }
 }
 
-fn assert_moved(world: &mut World, leader: &mut Leader) {
+fn assert_moved(world: &mut LeaderFixture, leader: &mut Leader) {
     for _ in 0..60 {
-        world.turn(leader);
-        assert_all_told(world, leader);
+        world.run_turn(leader);
+        assert_all_stored(world, leader);
     }
-    let m = leader.machines.get(&machine(1)).expect("there");
-    assert!(m.placements.iter().all(|p| p.phase == Phase::Ready));
-    assert!(told(&world.state).values().all(|n| *n == 1));
-    assert!(!leader.shards.values().any(Shard::due));
-    assert_held_once(leader);
+    let m = leader.machines.get(&machine_id(1)).expect("there");
+    assert!(m.placements.iter().all(|p| p.phase == Phase::Startable));
+    assert!(stored_placements(&world.store).values().all(|n| *n == 1));
+    assert!(!leader
+        .machine_groups
+        .values()
+        .any(MachineGroup::needs_write));
+    assert_placed_once(leader);
 }
 
 /// A busy machine whose record is full moves to another. Until that one is surely stored the old one
@@ -324,13 +357,17 @@
 /// leader would start its tasks a second time.
 #[test]
 fn a_busy_machine_stays_in_its_full_record_until_the_next_is_stored() {
-    for answers in [Answers::AtOnce, Answers::Lost, Answers::Silent] {
-        let mut world = World::new(StateService::default(), SMALL, 8);
-        let mut leader = full_record(&mut world);
+    for answers in [
+        AnswerMode::Immediate,
+        AnswerMode::AnswerLost,
+        AnswerMode::RequestLost,
+    ] {
+        let mut world = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 8);
+        let mut leader = leader_with_full_group_record(&mut world);
         move_busy_machine(&mut world, &mut leader);
-        world.answers = answers;
-        one_transaction(&mut world, &mut leader);
-        world.answers = Answers::AtOnce;
+        world.answer_mode = answers;
+        run_until_next_transaction(&mut world, &mut leader);
+        world.answer_mode = AnswerMode::Immediate;
         assert_moved(&mut world, &mut leader);
     }
 }
@@ -339,15 +376,18 @@
 /// the answer to that write would be taken for the proof that it does.
 #[test]
 fn a_busy_machine_moves_to_no_record_that_is_being_written() {
-    let mut world = World::new(StateService::default(), SMALL, 8);
-    let mut leader = full_record(&mut world);
+    let mut world = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 8);
+    let mut leader = leader_with_full_group_record(&mut world);
     add_machines(&mut leader, 9..10);
     world.submit(&mut leader, "run-98", 1);
-    assert!(leader.place(&machine(9), "run-98", 0));
-    world.answers = Answers::Late;
-    one_transaction(&mut world, &mut leader);
-    assert!(leader.shards.values().any(|s| s.stored.writing));
+    assert!(leader.place_task(&machine_id(9), "run-98", 0));
+    world.answer_mode = AnswerMode::Delayed;
+    run_until_next_transaction(&mut world, &mut leader);
+    assert!(leader
+        .machine_groups
+        .values()
+        .any(|s| s.stored_state.write_in_flight));
     move_busy_machine(&mut world, &mut leader);
-    world.answers = Answers::AtOnce;
+    world.answer_mode = AnswerMode::Immediate;
     assert_moved(&mut world, &mut leader);
 }
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -1,72 +1,87 @@
 //! Puts what is due into one transaction at a time and sends it.
-use super::draft::Draft;
+use super::draft::TransactionBuilder;
 use super::*;
 
 impl Leader {
     /// Writes what is due, one transaction at a time. Every write names the stamp it replaces,
     /// so that a transaction applied late changes nothing.
-    pub fn flush(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.ms;
-        if self.flushing || self.rereading || now < self.flush_at || self.stage == Stage::Loading {
+    pub fn commit(&mut self, ctx: &mut LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        if self.commit_in_flight
+            || self.revision_read_in_flight
+            || now < self.next_commit_at
+            || self.stage == Stage::Loading
+        {
             return;
         }
-        if self.reread(ctx) {
+        if self.read_unacknowledged_revision(ctx) {
             return;
         }
-        if self.due.is_empty() && self.drops.is_empty() && !self.shards.values().any(Shard::due) {
+        if self.jobs_to_store.is_empty()
+            && self.garbage_records.is_empty()
+            && !self.machine_groups.values().any(MachineGroup::needs_write)
+        {
             return;
         }
-        let level = ctx.writes.level(now);
-        let most = (level.max(0.0) as usize).min(ctx.limits.transaction_writes());
+        let level = ctx.write_budget.available(now);
+        let most = (level.max(0.0) as usize).min(ctx.store_limits.max_transaction_writes());
         if most == 0 {
             return;
         }
-        self.split_large();
-        let mut draft = Draft::new(self.term, most);
+        self.split_oversized_groups();
+        let mut draft = TransactionBuilder::new(self.term, most);
         // Placements of urgent work are counted in seconds.
-        self.flush_shards(&mut draft, |s| s.stored.dirty && s.urgent);
-        self.flush_ends(ctx, &mut draft);
+        self.add_machine_group_writes(&mut draft, |s| s.stored_state.dirty && s.is_urgent);
+        self.add_job_end_writes(ctx, &mut draft);
         // The rest waits for company, and leaves urgent placements their budget.
-        let ops = (ctx.limits.transaction_writes() as f64).min(ctx.set.state_write_rps);
-        let reserve = ops * k::FLUSH_RESERVE;
-        if now >= self.batch_at && level > reserve {
+        let ops =
+            (ctx.store_limits.max_transaction_writes() as f64).min(ctx.settings.store_writes_per_s);
+        let reserve = ops * k::URGENT_COMMIT_RESERVE_FRACTION;
+        if now >= self.next_batch_at && level > reserve {
             // Tasks wait for placements, nobody for results that can be told again: these have a
             // part of each transaction, so that they are stored all the same.
-            self.flush_results(ctx, &mut draft, most.div_ceil(k::RESULTS_SHARE));
-            self.flush_shards(&mut draft, |s| s.stored.dirty);
+            self.add_result_writes(ctx, &mut draft, most.div_ceil(k::RESULT_TXN_DIVISOR));
+            self.add_machine_group_writes(&mut draft, |s| s.stored_state.dirty);
             // A full transaction has no more company to wait for.
-            if !draft.items.is_empty() && !draft.full {
-                self.batch_at = now + k::FLUSH_GAP_MS;
+            if !draft.pending_writes.is_empty() && !draft.is_full {
+                self.next_batch_at = now + k::COMMIT_INTERVAL_MS;
             }
         }
         // Tidying must not eat the budget that placements may need in the next second.
-        if now >= self.tidy_at && level > ops * 0.5 {
-            self.tidy_at = now + k::TIDY_GAP_MS;
-            self.flush_shards(&mut draft, |s| s.stored.stale);
-            for (key, stored) in &mut self.drops {
-                if let (Some(version), false) = (stored.version, stored.writing) {
-                    let item = Item::DropDone { key: key.clone() };
-                    if version != 0 && draft.add(key.clone(), version, None, item) {
-                        stored.writing = true;
+        if now >= self.collect_garbage_at && level > ops * 0.5 {
+            self.collect_garbage_at = now + k::GARBAGE_COLLECTION_INTERVAL_MS;
+            self.add_machine_group_writes(&mut draft, |s| s.stored_state.stale);
+            for (key, stored) in &mut self.garbage_records {
+                if let (Some(version), false) = (stored.revision, stored.write_in_flight) {
+                    let item = PendingWrite::DeleteResultChunk { key: key.clone() };
+                    if version != 0 && draft.add_write(key.clone(), version, None, item) {
+                        stored.write_in_flight = true;
                     }
                 }
             }
-            self.drops.retain(|(_, s)| s.version != Some(0));
+            self.garbage_records.retain(|(_, s)| s.revision != Some(0));
         }
-        let Draft {
-            txn, items, size, ..
+        let TransactionBuilder {
+            transaction: txn,
+            pending_writes: items,
+            size,
+            ..
         } = draft;
         if items.is_empty() {
             return;
         }
-        if !ctx.reads.take(now, 1.0) {
-            return self.unflush(&items);
+        if !ctx.read_budget.try_take(now, 1.0) {
+            return self.revert_commit(&items);
         }
-        ctx.writes.force(now, items.len() as f64);
-        self.flushing = true;
+        ctx.write_budget
+            .take_unconditionally(now, items.len() as f64);
+        self.commit_in_flight = true;
         let body = encode(&txn);
-        let call = Call::Flush { items, size };
-        let wait = k::STATE_TIMEOUT_MS;
-        ctx.call(call, Target::State, "POST", "/multi".into(), body, wait);
+        let call = LeaderCall::Commit {
+            writes: items,
+            size,
+        };
+        let wait = k::STORE_TIMEOUT_MS;
+        ctx.send_call(call, Target::Store, "POST", "/multi".into(), body, wait);
     }
 }
--- a/crates/control/src/leader/summary.rs
+++ b/crates/control/src/leader/summary.rs
@@ -3,39 +3,45 @@
 
 impl Leader {
     /// One line for the log on how the fleet and the work stand.
-    pub(super) fn summarize(&self, ctx: &Ctx) {
+    pub(super) fn log_summary(&self, ctx: &LeaderContext) {
         let mut lives: BTreeMap<&str, usize> = BTreeMap::new();
         let (mut cpus, mut used, mut held) = (0.0, 0.0, 0);
         let (mut unstored, mut unseen, mut fetching, mut running) = (0, 0, 0, 0);
         for m in self.machines.values() {
-            let life = match m.life {
-                Life::Booting => "booting",
-                Life::Up if m.quiet(ctx.now.ms, ctx.set.report_s) => "silent",
-                Life::Up => "up",
-                Life::Draining => "draining",
-                Life::Deleting => "deleting",
+            let life = match m.lifecycle {
+                Lifecycle::Provisioning => "booting",
+                Lifecycle::Ready
+                    if m.is_silent(ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_s) =>
+                {
+                    "silent"
+                }
+                Lifecycle::Ready => "up",
+                Lifecycle::Draining => "draining",
+                Lifecycle::Terminating => "deleting",
             };
             *lives.entry(life).or_default() += 1;
-            if m.life == Life::Up {
-                cpus += self.kind(&m.kind).map_or(0.0, |t| t.cpus);
-                used += m.used().0;
-                held += m.held.len();
+            if m.lifecycle == Lifecycle::Ready {
+                cpus += self.machine_type(&m.machine_type).map_or(0.0, |t| t.cpus);
+                used += m.used_resources().0;
+                held += m.queued.len();
             }
             for p in &m.placements {
                 match p.phase {
-                    Phase::New | Phase::Stored => unstored += 1,
-                    Phase::Ready | Phase::Sent => unseen += 1,
-                    Phase::Fetching | Phase::Gathering => fetching += 1,
-                    Phase::Running | Phase::Saving => running += 1,
+                    Phase::Unstored | Phase::Stored => unstored += 1,
+                    Phase::Startable | Phase::Sent => unseen += 1,
+                    Phase::Fetching | Phase::WaitingForGang => fetching += 1,
+                    Phase::Running | Phase::Checkpointing => running += 1,
                     Phase::Exited { .. } => {}
                 }
             }
         }
         let (mut waiting, mut late) = (0, 0);
-        for w in self.works.values() {
-            let n = w.pending.len();
+        for w in self.jobs.values() {
+            let n = w.pending_tasks.len();
             waiting += n;
-            if w.due_s(ctx.now.wall_ms).is_some_and(|d| d <= 0.0) {
+            if w.seconds_to_deadline(ctx.now.wall_ms)
+                .is_some_and(|d| d <= 0.0)
+            {
                 late += n;
             }
         }
@@ -43,8 +49,8 @@
             "machines {lives:?}, cpus {used:.0} of {cpus:.0}; jobs {}, tasks waiting {waiting} \
              (late {late}), held {held}, unstored {unstored}, not seen yet {unseen}, \
              fetching {fetching}, running {running}; threshold {:.2}",
-            self.works.len(),
-            self.sched.pruner.deferring
+            self.jobs.len(),
+            self.scheduler.pruner.deferring_threshold
         );
     }
 }
--- a/crates/control/src/leader/world_tests.rs
+++ b/crates/control/src/leader/world_tests.rs
@@ -3,84 +3,87 @@
 use crate::limits::StoreLimits;
 
 /// Applies transactions at once and refuses what passes its limits, whatever the settings say.
-pub struct StateService {
-    keys: BTreeMap<String, (Value, u64)>,
+pub struct FakeStore {
+    records: BTreeMap<String, (StoredRecord, u64)>,
     revision: u64,
-    pub value_bytes: usize,
-    pub writes: usize,
+    pub max_value_bytes: usize,
+    pub max_transaction_writes: usize,
     /// Writes in one transaction beyond which the rate is exceeded.
-    pub burst: usize,
+    pub max_burst_writes: usize,
 }
 
-impl Default for StateService {
-    fn default() -> StateService {
-        StateService {
-            keys: BTreeMap::new(),
+impl Default for FakeStore {
+    fn default() -> FakeStore {
+        FakeStore {
+            records: BTreeMap::new(),
             revision: 0,
-            value_bytes: usize::MAX,
-            writes: usize::MAX,
-            burst: usize::MAX,
+            max_value_bytes: usize::MAX,
+            max_transaction_writes: usize::MAX,
+            max_burst_writes: usize::MAX,
         }
     }
 }
 
-impl StateService {
-    pub fn put(&mut self, key: &str, value: Value) {
+impl FakeStore {
+    pub fn put(&mut self, key: &str, value: StoredRecord) {
         self.revision += 1;
-        self.keys.insert(key.into(), (value, self.revision));
+        self.records.insert(key.into(), (value, self.revision));
     }
 
-    pub fn shards(&self) -> impl Iterator<Item = (&String, ShardRecord)> {
-        self.keys
+    pub fn machine_groups(&self) -> impl Iterator<Item = (&String, MachineGroupRecord)> {
+        self.records
             .iter()
             .filter_map(|(key, (value, _))| match value {
-                Value::Shard(record) => Some((key, record.clone())),
+                StoredRecord::MachineGroup(record) => Some((key, record.clone())),
                 _ => None,
             })
     }
 
     fn read(&self, key: &str) -> (u16, Vec<u8>) {
-        let Some((value, version)) = self.keys.get(key) else {
+        let Some((value, version)) = self.records.get(key) else {
             return (404, vec![]);
         };
         let entry = Entry {
             key: key.to_owned(),
             value: value.clone(),
-            version: *version,
-            lease: None,
+            revision: *version,
+            lease_id: None,
         };
         (200, encode(&entry))
     }
 
-    fn apply(&mut self, txn: Txn<Value>) -> (u16, Vec<u8>) {
-        let large = |w: &Write<Value>| match w {
-            Write::Put { value, .. } => json_len(value) > self.value_bytes,
+    fn apply(&mut self, txn: Txn<StoredRecord>) -> (u16, Vec<u8>) {
+        let large = |w: &Write<StoredRecord>| match w {
+            Write::Put { value, .. } => json_size_bytes(value) > self.max_value_bytes,
             Write::Delete { .. } => false,
         };
         let conditions = txn.conditions.len();
-        let most = self.writes.saturating_mul(4);
-        if txn.writes.len() > self.writes || conditions > most || txn.writes.iter().any(large) {
+        let most = self.max_transaction_writes.saturating_mul(4);
+        if txn.writes.len() > self.max_transaction_writes
+            || conditions > most
+            || txn.writes.iter().any(large)
+        {
             return (400, vec![]);
         }
-        if txn.writes.len() > self.burst {
+        if txn.writes.len() > self.max_burst_writes {
             return (429, vec![]);
         }
         for c in &txn.conditions {
-            let stamp = self.keys.get(&c.key).map_or(0, |k| k.1);
-            assert!(c.key == LEADER || stamp == c.version, "{}", c.key);
+            let stamp = self.records.get(&c.key).map_or(0, |k| k.1);
+            assert!(c.key == LEADER_KEY || stamp == c.revision, "{}", c.key);
         }
         self.revision += 1;
         for w in txn.writes {
             match w {
                 Write::Put { key, value, .. } => {
-                    self.keys.insert(key, (value, self.revision));
+                    self.records.insert(key, (value, self.revision));
                 }
-                Write::Delete { key } => drop(self.keys.remove(&key)),
+                Write::Delete { key } => drop(self.records.remove(&key)),
             }
         }
-        let answer = TxnAnswer {
+        let answer = TxnResponse {
             revision: self.revision,
-            failed: vec![],
+            failed_keys: vec![],
         };
         (200, encode(&answer))
     }
@@ -88,58 +91,58 @@
 
 /// What becomes of transactions and their answers.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Answers {
-    AtOnce,
+pub enum AnswerMode {
+    Immediate,
     /// Transactions are carried out; their answers come once others come at once again.
-    Late,
+    Delayed,
     /// Transactions are carried out, their answers lost.
-    Lost,
+    AnswerLost,
     /// Transactions are lost.
-    Silent,
+    RequestLost,
 }
 
-pub struct World {
-    pub state: StateService,
-    pub answers: Answers,
-    late: Vec<(Call, CallResult)>,
-    pub set: Settings,
-    pub limits: StoreLimits,
-    pub ms: Ms,
+pub struct LeaderFixture {
+    pub store: FakeStore,
+    pub answer_mode: AnswerMode,
+    delayed_answers: Vec<(LeaderCall, CallResult)>,
+    pub settings: Settings,
+    pub store_limits: StoreLimits,
+    pub now_ms: Millis,
     pub transactions: usize,
-    pub refused: usize,
-    pub most_writes: usize,
-    refused_at: Option<Ms>,
+    pub refused_transactions: usize,
+    pub max_writes_seen: usize,
+    last_refused_at: Option<Millis>,
     replica: Replica,
-    reads: Bucket,
-    writes: Bucket,
-    out: Out,
+    read_budget: TokenBucket,
+    write_budget: TokenBucket,
+    outbox: Outbox,
 }
 
-pub fn machine(n: usize) -> String {
+pub fn machine_id(n: usize) -> String {
     format!("host-{n:06}")
 }
 
-pub fn spec(id: &str, tasks: u32) -> stonegw_wire::msg::JobSpec {
+pub fn job_spec(id: &str, tasks: u32) -> stonegw_wire::msg::JobSpec {
     stonegw_wire::msg::JobSpec {
         id: id.into(),
         class: "class".into(),
         team: "red".into(),
         kind: JobKind::Array,
         priority: Priority::Normal,
-        tasks,
+        task_count: tasks,
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 2.0,
         image: "img-1".into(),
-        image_gb: 1.0,
-        types: None,
+        image_size_gb: 1.0,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        requires_single_zone: false,
+        spreads_across_zones: false,
+        allows_spot: false,
+        estimated_run_time_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
     }
 }
@@ -147,83 +150,85 @@
 /// What a leader may use at the world's present time. A macro, so that it borrows only the parts it names.
 macro_rules! context {
     ($world:expr, $proven:expr, $calls:expr) => {
-        Ctx {
-            proven: $proven,
+        LeaderContext {
+            leadership_confirmed: $proven,
             now: Now {
-                ms: $world.ms,
-                wall_ms: $world.ms,
+                monotonic_ms: $world.now_ms,
+                wall_ms: $world.now_ms,
             },
-            set: &$world.set,
+            settings: &$world.settings,
             may_resign: false,
-            covered: $proven,
+            watermark_current: $proven,
             replica: &mut $world.replica,
-            reads: &mut $world.reads,
-            writes: &mut $world.writes,
-            limits: &mut $world.limits,
-            out: &mut $world.out,
+            read_budget: &mut $world.read_budget,
+            write_budget: &mut $world.write_budget,
+            store_limits: &mut $world.store_limits,
+            outbox: &mut $world.outbox,
             calls: &mut $calls,
         }
     };
 }
 
-impl World {
-    pub fn new(state: StateService, value_bytes: usize, txn_ops: usize) -> World {
-        let set = Settings {
-            node: "node-0".into(),
+impl LeaderFixture {
+    pub fn new(store: FakeStore, value_bytes: usize, txn_ops: usize) -> LeaderFixture {
+        let settings = Settings {
+            node_name: "node-0".into(),
             zone: "a".into(),
             peers: vec![],
             zones: vec!["a".into()],
             teams: vec![],
-            promises: vec![],
-            report_s: 4.0,
-            lease_s: 24.0,
-            cancel_s: 54.0,
-            gang_wait_s: 35.0,
-            gang_peer_s: 8.0,
-            state_rps: 100.0,
-            state_write_rps: 60.0,
-            value_bytes,
-            txn_ops,
-            cloud_rps: 1.0,
-            list_lag_s: 1.0,
+            class_slos: vec![],
+            heartbeat_interval_s: 4.0,
+            worker_lease_s: 24.0,
+            cancellation_deadline_s: 54.0,
+            gang_start_timeout_s: 35.0,
+            gang_loss_detection_s: 8.0,
+            store_requests_per_s: 100.0,
+            store_writes_per_s: 60.0,
+            max_value_bytes: value_bytes,
+            max_transaction_writes: txn_ops,
+            cloud_requests_per_s: 1.0,
+            cloud_listing_lag_s: 1.0,
             max_sockets: 1_000,
             tuning: Default::default(),
         };
-        World {
-            state,
-            answers: Answers::AtOnce,
-            late: vec![],
-            limits: StoreLimits::new(&set),
-            set,
-            ms: 1_000,
+        LeaderFixture {
+            store,
+            answer_mode: AnswerMode::Immediate,
+            delayed_answers: vec![],
+            store_limits: StoreLimits::new(&settings),
+            settings,
+            now_ms: 1_000,
             transactions: 0,
-            refused: 0,
-            most_writes: 0,
-            refused_at: None,
+            refused_transactions: 0,
+            max_writes_seen: 0,
+            last_refused_at: None,
             replica: Replica::default(),
-            reads: Bucket::new(100.0, 100.0),
-            writes: Bucket::new(60.0, 60.0),
-            out: Out {
+            read_budget: TokenBucket::new(100.0, 100.0),
+            write_budget: TokenBucket::new(60.0, 60.0),
+            outbox: Outbox {
                 actions: vec![],
-                next_call: 0,
+                last_call_id: 0,
             },
         }
     }
 
     /// A leader that has loaded what is stored.
-    pub fn lead(&mut self, term: u64) -> Leader {
-        let catalog = Catalog { types: vec![] };
-        let mut leader = Leader::new(term, 1, self.ms, self.ms, catalog, &self.set);
-        leader.lower_value_bytes(self.limits.value_bytes());
-        for (key, (value, version)) in &self.state.keys {
-            if let Value::Shard(record) = value {
+    pub fn start_leader(&mut self, term: u64) -> Leader {
+        let catalog = Catalog {
+            machine_types: vec![],
+        };
+        let mut leader = Leader::new(term, 1, self.now_ms, self.now_ms, catalog, &self.settings);
+        leader.lower_max_value_bytes(self.store_limits.max_value_bytes());
+        for (key, (value, version)) in &self.store.records {
+            if let StoredRecord::MachineGroup(record) = value {
                 let entry = Entry {
                     key: key.clone(),
                     value: record.clone(),
-                    version: *version,
-                    lease: None,
+                    revision: *version,
+                    lease_id: None,
                 };
-                leader.load_shard(self.ms, entry);
+                leader.load_machine_group(self.now_ms, entry);
             }
         }
         leader.stage = Stage::Active;
@@ -231,13 +236,13 @@
     }
 
     pub fn submit(&mut self, leader: &mut Leader, id: &str, tasks: u32) {
-        let work = Work::new(spec(id, tasks), 0);
-        leader.works.insert(id.into(), work);
+        let work = JobState::new(job_spec(id, tasks), 0);
+        leader.jobs.insert(id.into(), work);
     }
 
     /// What a whole turn of the leader sends, by its paths. `proven`: see [`Ctx`].
-    pub fn sent_in_turn(&mut self, leader: &mut Leader, proven: bool) -> Vec<String> {
-        self.ms += 100;
+    pub fn paths_sent_in_turn(&mut self, leader: &mut Leader, proven: bool) -> Vec<String> {
+        self.now_ms += 100;
         let mut calls = vec![];
         let mut ctx = context!(self, proven, calls);
         leader.advance(&mut ctx);
@@ -245,59 +250,68 @@
             crate::api::Action::Call { path, .. } => Some(path),
             _ => None,
         };
-        std::mem::take(&mut ctx.out.actions)
+        std::mem::take(&mut ctx.outbox.actions)
             .into_iter()
             .filter_map(path)
             .collect()
     }
 
     /// A machine reports.
-    pub fn hear(&mut self, leader: &mut Leader, report: Report) {
+    pub fn deliver_heartbeat(&mut self, leader: &mut Leader, report: Heartbeat) {
         let mut calls = vec![];
         let mut ctx = context!(self, true, calls);
-        leader.beat(&mut ctx, report);
+        leader.handle_heartbeat(&mut ctx, report);
     }
 
     /// A tenth of a second: what is due is written, and the answer comes.
-    pub fn turn(&mut self, leader: &mut Leader) {
-        self.ms += 100;
+    pub fn run_turn(&mut self, leader: &mut Leader) {
+        self.now_ms += 100;
         let mut calls = vec![];
         let mut ctx = context!(self, true, calls);
-        leader.now_ms = ctx.now.ms;
-        leader.lower_value_bytes(ctx.limits.value_bytes());
-        if self.answers == Answers::AtOnce {
-            for (call, result) in std::mem::take(&mut self.late) {
+        leader.now_ms = ctx.now.monotonic_ms;
+        leader.lower_max_value_bytes(ctx.store_limits.max_value_bytes());
+        if self.answer_mode == AnswerMode::Immediate {
+            for (call, result) in std::mem::take(&mut self.delayed_answers) {
                 leader.call_done(&mut ctx, call, result);
             }
         }
-        leader.flush(&mut ctx);
-        let actions = std::mem::take(&mut ctx.out.actions);
+        leader.commit(&mut ctx);
+        let actions = std::mem::take(&mut ctx.outbox.actions);
         let sent = std::mem::take(ctx.calls);
         for (action, (_, call)) in actions.into_iter().zip(sent) {
             let crate::api::Action::Call { path, body, .. } = action else {
                 continue;
             };
             if let Some(key) = path.strip_prefix("/kv/") {
-                let answer = self.state.read(key);
+                let answer = self.store.read(key);
                 leader.call_done(&mut ctx, call, Ok(answer));
                 continue;
             }
-            let txn: Txn<Value> = decode(&body).expect("a transaction");
-            let pause = self.refused_at.map_or(Ms::MAX, |at| self.ms - at);
-            assert!(pause >= k::STATE_RETRY_MS, "busy: again after {pause} ms");
+            let txn: Txn<StoredRecord> = decode(&body).expect("a transaction");
+            let pause = self
+                .last_refused_at
+                .map_or(Millis::MAX, |at| self.now_ms - at);
+            assert!(
+                pause >= k::STORE_RETRY_BACKOFF_MS,
+                "busy: again after {pause} ms"
+            );
             self.transactions += 1;
-            self.most_writes = self.most_writes.max(txn.writes.len());
-            if self.answers == Answers::Silent {
-                leader.call_done(&mut ctx, call, Err(CallError::Unknown));
+            self.max_writes_seen = self.max_writes_seen.max(txn.writes.len());
+            if self.answer_mode == AnswerMode::RequestLost {
+                leader.call_done(&mut ctx, call, Err(CallError::OutcomeUnknown));
                 continue;
             }
-            let answer = self.state.apply(txn);
-            self.refused += usize::from(answer.0 == 400);
-            self.refused_at = (answer.0 != 200).then_some(self.ms);
-            match self.answers {
-                Answers::Late => self.late.push((call, Ok(answer))),
-                Answers::Lost => leader.call_done(&mut ctx, call, Err(CallError::Unknown)),
-                Answers::AtOnce | Answers::Silent => leader.call_done(&mut ctx, call, Ok(answer)),
+            let answer = self.store.apply(txn);
+            self.refused_transactions += usize::from(answer.0 == 400);
+            self.last_refused_at = (answer.0 != 200).then_some(self.now_ms);
+            match self.answer_mode {
+                AnswerMode::Delayed => self.delayed_answers.push((call, Ok(answer))),
+                AnswerMode::AnswerLost => {
+                    leader.call_done(&mut ctx, call, Err(CallError::OutcomeUnknown))
+                }
+                AnswerMode::Immediate | AnswerMode::RequestLost => {
+                    leader.call_done(&mut ctx, call, Ok(answer))
+                }
             }
         }
     }
--- a/crates/control/src/ledger/machine.rs
+++ b/crates/control/src/ledger/machine.rs
@@ -1,7 +1,7 @@
 //! One machine: its life, how well it is reached, and the tasks on it.
-use super::sums::Shown;
+use super::sums::AccountedUsage;
 use super::{Phase, Placement};
-use crate::api::Ms;
+use crate::api::Millis;
 use crate::pause::Pause;
 use std::collections::{BTreeSet, VecDeque};
 use stonegw_constants as k;
@@ -9,31 +9,31 @@
 
 /// How far a machine is between its rental and its return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum Lifecycle {
     /// Rented, not heard from.
-    Booting,
+    Provisioning,
     /// Heard from; may get tasks.
-    Up,
+    Ready,
     /// Gets nothing new: notice, faults, or too many leftovers.
     Draining,
     /// A delete has been or will be asked for.
-    Deleting,
+    Terminating,
 }
 
 /// Whether what we say reaches a machine that we hear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// Everything we send has its effect.
-    Fine,
+    Reachable,
     /// So many answers or commands in a row had no effect.
-    Doubtful {
+    Suspected {
         /// How many.
-        misses: u32,
+        undelivered: u32,
     },
     /// It hears nothing.
-    Deaf {
+    Unreachable {
         /// Found to be so at.
-        since: Ms,
+        since: Millis,
     },
 }
 
@@ -45,262 +45,273 @@
     /// Where its worker listens, if known.
     pub addr: Option<String>,
     /// The name of its type in the catalogue.
-    pub kind: String,
+    pub machine_type: String,
     /// The zone it is in.
     pub zone: String,
     /// Rented as a spot machine.
     pub spot: bool,
     /// How far it is between rental and return.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     /// The worker's session, as last reported.
-    pub session: u64,
+    pub incarnation: u64,
     /// The highest sequence number of a report in this session.
-    pub seq: u64,
+    pub sequence: u64,
     /// When it was last heard.
-    pub heard: Option<Ms>,
+    pub last_heartbeat_at: Option<Millis>,
     /// Last heard through the state service: commands don't reach it.
-    pub via_state: bool,
+    pub via_store: bool,
     /// The last report was made under our token.
-    pub under_token: bool,
+    pub under_current_term: bool,
     /// Whether what we say reaches it.
-    pub reach: Reach,
+    pub reachability: Reachability,
     /// Not asked anew whether it hears us before.
-    pub inspect_at: Ms,
+    pub next_probe_at: Millis,
     /// Reports answered since its last silence.
-    pub answered: u32,
+    pub answered_heartbeats: u32,
     /// When this leader first knew of it.
-    pub known_since: Ms,
+    pub known_since: Millis,
     /// Rented at, as far as we know.
-    pub born: Ms,
+    pub provisioned_at: Millis,
     /// Some list of the cloud had it.
-    pub listed: bool,
+    pub was_listed: bool,
     /// The last list called it running.
-    pub listed_up: bool,
+    pub listed_as_running: bool,
     /// Lists without it since it was listed or heard.
-    pub missing: u32,
+    pub absent_listings: u32,
     /// Taken away by the cloud at.
-    pub notice: Option<Ms>,
+    pub eviction_at: Option<Millis>,
     /// Its tasks, until what follows from their end is stored.
     pub placements: Vec<Placement>,
     /// Tasks held for room freeing next.
-    pub held: Vec<(String, u32)>,
+    pub queued: Vec<(String, u32)>,
     /// The record that tells of it.
-    pub shard: Option<u32>,
+    pub machine_group: Option<u32>,
     /// A predecessor left tasks here.
-    pub loaded: bool,
+    pub loaded_from_store: bool,
     /// A direct command is unanswered.
-    pub do_open: Option<u64>,
+    pub command_in_flight: Option<u64>,
     /// A direct command with a `run` was given up in this session: it may still arrive.
-    pub do_lost: bool,
+    pub command_unanswered: bool,
     /// Images fetched, most recent last.
-    pub images: VecDeque<(String, f64)>,
+    pub cached_images: VecDeque<(String, f64)>,
     /// Jobs whose tasks failed here.
-    pub errors: BTreeSet<String>,
+    pub failed_jobs: BTreeSet<String>,
     /// It refused a task for want of room: gets nothing new before.
-    pub full_until: Ms,
+    pub full_until: Millis,
     /// Without any task since.
-    pub idle_since: Option<Ms>,
+    pub idle_since: Option<Millis>,
     /// When its deletion was last asked for; 0 for never.
-    pub delete_sent: Ms,
+    pub last_delete_sent_at: Millis,
     /// CPU-milliseconds its tasks ran; for the log.
-    pub ran: f64,
+    pub run_cpu_ms: f64,
     /// The same for tasks that fetched their images.
-    pub fetched: f64,
+    pub fetch_cpu_ms: f64,
     /// When it was first heard.
-    pub up_at: Option<Ms>,
+    pub first_heartbeat_at: Option<Millis>,
     /// What the sums hold of it.
-    pub(super) shown: Shown,
+    pub(super) accounted_usage: AccountedUsage,
 }
 
 impl Machine {
     /// A machine just rented or found, without tasks.
-    pub fn new(id: &str, kind: &str, zone: &str, spot: bool, now: Ms) -> Machine {
+    pub fn new(id: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Machine {
         Machine {
             id: id.into(),
             addr: None,
-            kind: kind.into(),
+            machine_type: kind.into(),
             zone: zone.into(),
             spot,
-            life: Life::Booting,
-            session: 0,
-            seq: 0,
-            heard: None,
-            via_state: false,
-            under_token: false,
-            reach: Reach::Fine,
-            inspect_at: 0,
-            answered: 0,
+            lifecycle: Lifecycle::Provisioning,
+            incarnation: 0,
+            sequence: 0,
+            last_heartbeat_at: None,
+            via_store: false,
+            under_current_term: false,
+            reachability: Reachability::Reachable,
+            next_probe_at: 0,
+            answered_heartbeats: 0,
             known_since: now,
-            born: now,
-            listed: false,
-            listed_up: false,
-            missing: 0,
-            notice: None,
+            provisioned_at: now,
+            was_listed: false,
+            listed_as_running: false,
+            absent_listings: 0,
+            eviction_at: None,
             placements: vec![],
-            held: vec![],
-            shard: None,
-            loaded: false,
-            do_open: None,
-            do_lost: false,
-            images: VecDeque::new(),
-            errors: BTreeSet::new(),
+            queued: vec![],
+            machine_group: None,
+            loaded_from_store: false,
+            command_in_flight: None,
+            command_unanswered: false,
+            cached_images: VecDeque::new(),
+            failed_jobs: BTreeSet::new(),
             full_until: 0,
             idle_since: None,
-            delete_sent: 0,
-            ran: 0.0,
-            fetched: 0.0,
-            up_at: None,
-            shown: Shown::default(),
+            last_delete_sent_at: 0,
+            run_cpu_ms: 0.0,
+            fetch_cpu_ms: 0.0,
+            first_heartbeat_at: None,
+            accounted_usage: AccountedUsage::default(),
         }
     }
 
     /// Moves it to another stage of its life and logs the change.
-    pub fn set_life(&mut self, to: Life) {
-        if self.life != to {
-            log::info!("machine {} {:?} -> {:?}", self.id, self.life, to);
-            self.life = to;
+    pub fn set_lifecycle(&mut self, to: Lifecycle) {
+        if self.lifecycle != to {
+            log::info!("machine {} {:?} -> {:?}", self.id, self.lifecycle, to);
+            self.lifecycle = to;
         }
     }
 
-    fn set_reach(&mut self, to: Reach) {
-        if self.reach != to {
-            log::debug!("machine {} {:?} -> {:?}", self.id, self.reach, to);
-            self.reach = to;
+    fn set_reachability(&mut self, to: Reachability) {
+        if self.reachability != to {
+            log::debug!("machine {} {:?} -> {:?}", self.id, self.reachability, to);
+            self.reachability = to;
         }
     }
 
     /// Something we sent had its effect.
-    pub fn reached(&mut self) {
-        self.set_reach(Reach::Fine);
+    pub fn record_delivered(&mut self) {
+        self.set_reachability(Reachability::Reachable);
     }
 
     /// What we sent had no effect, once more.
-    pub fn missed(&mut self, now: Ms) {
-        let misses = match self.reach {
-            Reach::Fine => 1,
-            Reach::Doubtful { misses } => misses + 1,
-            Reach::Deaf { .. } => return,
+    pub fn record_undelivered(&mut self, now: Millis) {
+        let misses = match self.reachability {
+            Reachability::Reachable => 1,
+            Reachability::Suspected {
+                undelivered: misses,
+            } => misses + 1,
+            Reachability::Unreachable { .. } => return,
         };
-        if misses >= k::DEAF_MISSES {
+        if misses >= k::UNREACHABLE_MISSES {
             log::warn!("machine {} is heard but does not hear us", self.id);
-            self.set_reach(Reach::Deaf { since: now });
+            self.set_reachability(Reachability::Unreachable { since: now });
         } else {
-            self.set_reach(Reach::Doubtful { misses });
+            self.set_reachability(Reachability::Suspected {
+                undelivered: misses,
+            });
         }
     }
 
     /// Its node ran again after a pause: its silence, its boot and its idleness are timed anew, and how long
     /// its present tasks run is not known.
     pub fn resume(&mut self, pause: Pause) {
-        if let Some(at) = &mut self.heard {
+        if let Some(at) = &mut self.last_heartbeat_at {
             *at = pause.now;
         }
-        for at in [&mut self.known_since, &mut self.born] {
+        for at in [&mut self.known_since, &mut self.provisioned_at] {
             pause.shift(at);
         }
-        pause.shift_some(&mut self.idle_since);
-        if let Reach::Deaf { since } = &mut self.reach {
+        pause.shift_if_set(&mut self.idle_since);
+        if let Reachability::Unreachable { since } = &mut self.reachability {
             *since = pause.now;
         }
         for p in &mut self.placements {
-            p.run_untimed = true;
-            pause.shift_some(&mut p.exited_at);
+            p.run_time_unknown = true;
+            pause.shift_if_set(&mut p.exited_at);
         }
     }
 
     /// Whether it hears nothing we send.
-    pub fn deaf(&self) -> bool {
-        matches!(self.reach, Reach::Deaf { .. })
+    pub fn is_unreachable(&self) -> bool {
+        matches!(self.reachability, Reachability::Unreachable { .. })
     }
 
     /// Good for new tasks: nearly all we sent lately had its effect.
-    pub fn trusted(&self) -> bool {
-        match self.reach {
-            Reach::Fine => true,
-            Reach::Doubtful { misses } => misses < k::DEAF_MISSES - 1,
-            Reach::Deaf { .. } => false,
+    pub fn is_trusted(&self) -> bool {
+        match self.reachability {
+            Reachability::Reachable => true,
+            Reachability::Suspected {
+                undelivered: misses,
+            } => misses < k::UNREACHABLE_MISSES - 1,
+            Reachability::Unreachable { .. } => false,
         }
     }
 
     /// CPUs, cards and memory that its present tasks take.
-    pub fn used(&self) -> (f64, f64, f64) {
+    pub fn used_resources(&self) -> (f64, f64, f64) {
         self.placements
             .iter()
-            .filter(|p| p.present())
+            .filter(|p| p.is_present())
             .fold((0.0, 0.0, 0.0), |(c, g, m), p| {
-                (c + p.cpus, g + p.gpus, m + p.memory)
+                (c + p.cpus, g + p.gpus, m + p.memory_gb)
             })
     }
 
     /// CPUs, cards and memory that its present tasks leave free.
-    pub fn free(&self, kind: &MachineType) -> (f64, f64, f64) {
-        let (c, g, m) = self.used();
+    pub fn free_resources(&self, kind: &MachineType) -> (f64, f64, f64) {
+        let (c, g, m) = self.used_resources();
         (kind.cpus - c, kind.gpus - g, kind.memory_gb - m)
     }
 
     /// Adds up what its tasks used since it was last heard.
-    pub fn count_use(&mut self, now: Ms) {
-        let dt = now.saturating_sub(self.heard.unwrap_or(now)) as f64;
+    pub fn accumulate_usage(&mut self, now: Millis) {
+        let dt = now.saturating_sub(self.last_heartbeat_at.unwrap_or(now)) as f64;
         for p in &self.placements {
             match p.phase {
-                Phase::Running | Phase::Saving => self.ran += p.cpus * dt,
-                Phase::Fetching | Phase::Gathering => self.fetched += p.cpus * dt,
+                Phase::Running | Phase::Checkpointing => self.run_cpu_ms += p.cpus * dt,
+                Phase::Fetching | Phase::WaitingForGang => self.fetch_cpu_ms += p.cpus * dt,
                 _ => {}
             }
         }
-        self.up_at.get_or_insert(now);
+        self.first_heartbeat_at.get_or_insert(now);
     }
 
     /// What became of the money spent on it, for the log.
-    pub fn account(&self, now: Ms, cpus: f64) -> String {
+    pub fn describe_usage(&self, now: Millis, cpus: f64) -> String {
         let s = |ms: u64| ms as f64 / 1e3;
-        let boot = self.up_at.map_or(now, |u| u).saturating_sub(self.born);
-        let up = self.up_at.map_or(0, |u| now.saturating_sub(u));
+        let boot = self
+            .first_heartbeat_at
+            .map_or(now, |u| u)
+            .saturating_sub(self.provisioned_at);
+        let up = self.first_heartbeat_at.map_or(0, |u| now.saturating_sub(u));
         let part = |x: f64| x / (cpus * up as f64).max(1.0);
         format!(
             "{} {} boot {:.0} s, up {:.0} s, ran {:.2}, fetched {:.2}",
-            self.kind,
+            self.machine_type,
             if self.spot { "spot" } else { "ordinary" },
             s(boot),
             s(up),
-            part(self.ran),
-            part(self.fetched)
+            part(self.run_cpu_ms),
+            part(self.fetch_cpu_ms)
         )
     }
 
     /// Whether no task is on it or held for it.
-    pub fn idle(&self) -> bool {
-        self.held.is_empty() && !self.placements.iter().any(Placement::present)
+    pub fn is_idle(&self) -> bool {
+        self.queued.is_empty() && !self.placements.iter().any(Placement::is_present)
     }
 
     /// Whether its cache should hold the image.
     pub fn has_image(&self, image: &str) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.cached_images.iter().any(|(i, _)| i == image)
     }
 
     /// Remembers what the worker's cache holds: the most recently used images that fit.
-    pub fn use_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| i != image);
-        self.images.push_back((image.into(), gb));
-        let mut sum: f64 = self.images.iter().map(|(_, g)| g).sum();
-        while sum > cache_gb && self.images.len() > 1 {
-            sum -= self.images.pop_front().map_or(0.0, |(_, g)| g);
+    pub fn record_image_use(&mut self, image: &str, gb: f64, cache_gb: f64) {
+        self.cached_images.retain(|(i, _)| i != image);
+        self.cached_images.push_back((image.into(), gb));
+        let mut sum: f64 = self.cached_images.iter().map(|(_, g)| g).sum();
+        while sum > cache_gb && self.cached_images.len() > 1 {
+            sum -= self.cached_images.pop_front().map_or(0.0, |(_, g)| g);
         }
     }
 
     /// Something waits to be sent to it, time aside.
-    pub(super) fn wants_commands(&self) -> bool {
+    pub(super) fn has_pending_commands(&self) -> bool {
         self.placements.iter().any(|p| match p.phase {
-            Phase::Ready => p.stop.is_none(),
-            Phase::Fetching | Phase::Gathering | Phase::Running => p.stop.is_some(),
+            Phase::Startable => p.stop_grace_s.is_none(),
+            Phase::Fetching | Phase::WaitingForGang | Phase::Running => p.stop_grace_s.is_some(),
             _ => false,
         })
     }
 
     /// Whether its reports have stayed out for too long.
-    pub fn quiet(&self, now: Ms, report_s: f64) -> bool {
-        match self.heard {
-            Some(at) => now.saturating_sub(at) as f64 > report_s * k::QUIET_PERIODS * 1e3,
+    pub fn is_silent(&self, now: Millis, report_s: f64) -> bool {
+        match self.last_heartbeat_at {
+            Some(at) => {
+                now.saturating_sub(at) as f64 > report_s * k::SILENT_HEARTBEAT_INTERVALS * 1e3
+            }
             None => true,
         }
     }
--- a/crates/control/src/ledger/machines.rs
+++ b/crates/control/src/ledger/machines.rs
@@ -1,5 +1,5 @@
 //! The set of all machines; changes go through it, so that the sums follow.
-use super::sums::Sums;
+use super::sums::UsageTotals;
 use super::Machine;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,34 +8,34 @@
 /// All machines by name. Whoever changes one does so through `edit`, and the sums follow.
 #[derive(Debug, Default)]
 pub struct Machines {
-    map: BTreeMap<String, Machine>,
-    sums: Sums,
+    by_id: BTreeMap<String, Machine>,
+    usage_totals: UsageTotals,
     /// Machines looked at so far: what the work comes to, whatever a processor does a second.
     lookups: Cell<u64>,
 }
 
 /// A machine being changed; when it goes, the sums are made right.
-pub struct Edit<'a> {
-    m: &'a mut Machine,
-    sums: &'a mut Sums,
+pub struct MachineGuard<'a> {
+    machine: &'a mut Machine,
+    usage_totals: &'a mut UsageTotals,
 }
 
-impl Deref for Edit<'_> {
+impl Deref for MachineGuard<'_> {
     type Target = Machine;
     fn deref(&self) -> &Machine {
-        self.m
+        self.machine
     }
 }
 
-impl DerefMut for Edit<'_> {
+impl DerefMut for MachineGuard<'_> {
     fn deref_mut(&mut self) -> &mut Machine {
-        self.m
+        self.machine
     }
 }
 
-impl Drop for Edit<'_> {
+impl Drop for MachineGuard<'_> {
     fn drop(&mut self) {
-        self.sums.update(self.m);
+        self.usage_totals.update(self.machine);
     }
 }
 
@@ -43,13 +43,13 @@
     /// The machine of that name, to look at.
     pub fn get(&self, id: &str) -> Option<&Machine> {
         self.count_lookups(1);
-        self.map.get(id)
+        self.by_id.get(id)
     }
 
     /// All machines, in the order of their names.
     pub fn values(&self) -> impl Iterator<Item = &Machine> {
-        self.count_lookups(self.map.len());
-        self.map.values()
+        self.count_lookups(self.by_id.len());
+        self.by_id.values()
     }
 
     fn count_lookups(&self, n: usize) {
@@ -63,35 +63,38 @@
 
     /// How many machines there are.
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.by_id.len()
     }
 
     /// Whether there is no machine.
     pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+        self.by_id.is_empty()
     }
 
     /// The machine of that name, to change.
-    pub fn edit(&mut self, id: &str) -> Option<Edit<'_>> {
+    pub fn edit(&mut self, id: &str) -> Option<MachineGuard<'_>> {
         self.count_lookups(1);
-        let m = self.map.get_mut(id)?;
-        let sums = &mut self.sums;
-        Some(Edit { m, sums })
+        let m = self.by_id.get_mut(id)?;
+        let sums = &mut self.usage_totals;
+        Some(MachineGuard {
+            machine: m,
+            usage_totals: sums,
+        })
     }
 
     /// Changes each machine in turn.
     pub fn edit_all(&mut self, mut change: impl FnMut(&mut Machine)) {
-        self.count_lookups(self.map.len());
-        for m in self.map.values_mut() {
+        self.count_lookups(self.by_id.len());
+        for m in self.by_id.values_mut() {
             change(m);
-            self.sums.update(m);
+            self.usage_totals.update(m);
         }
     }
 
     /// Puts a machine in, unless it is known.
     pub fn add(&mut self, id: &str, new: impl FnOnce() -> Machine) {
-        if !self.map.contains_key(id) {
-            self.map.insert(id.to_owned(), new());
+        if !self.by_id.contains_key(id) {
+            self.by_id.insert(id.to_owned(), new());
             // Its tasks count from now on.
             drop(self.edit(id));
         }
@@ -99,78 +102,102 @@
 
     /// Takes a machine out, with its part of the sums.
     pub fn remove(&mut self, id: &str) {
-        if let Some(m) = self.map.remove(id) {
-            self.sums.add(id, &m.shown, -1);
+        if let Some(m) = self.by_id.remove(id) {
+            self.usage_totals.apply_usage(id, &m.accounted_usage, -1);
         }
     }
 
     /// What a team's tasks take, over all that is not proven gone: CPUs and cards.
-    pub fn team(&self, team: &str) -> (f64, f64) {
-        let (c, g) = self.sums.teams.get(team).copied().unwrap_or_default();
+    pub fn team_usage(&self, team: &str) -> (f64, f64) {
+        let (c, g) = self
+            .usage_totals
+            .team_usage
+            .get(team)
+            .copied()
+            .unwrap_or_default();
         (c as f64 / 1e6, g as f64 / 1e6)
     }
 
     /// Whether the task may be on some machine.
     pub fn is_present(&self, job: &str, index: u32) -> bool {
-        let j = self.sums.jobs.get(job);
-        j.is_some_and(|j| j.present.contains_key(&index))
+        let j = self.usage_totals.job_usage.get(job);
+        j.is_some_and(|j| j.present_machine_counts.contains_key(&index))
     }
 
     /// Whether the task waits in a machine's queue.
-    pub fn is_held(&self, job: &str, index: u32) -> bool {
-        let j = self.sums.jobs.get(job);
-        j.is_some_and(|j| j.held.contains_key(&index))
+    pub fn is_queued(&self, job: &str, index: u32) -> bool {
+        let j = self.usage_totals.job_usage.get(job);
+        j.is_some_and(|j| j.queued_machine_counts.contains_key(&index))
     }
 
     /// A task of the job that is held in some machine's queue.
-    pub fn first_held(&self, job: &str) -> Option<u32> {
-        self.sums.jobs.get(job)?.held.keys().next().copied()
+    pub fn first_queued(&self, job: &str) -> Option<u32> {
+        self.usage_totals
+            .job_usage
+            .get(job)?
+            .queued_machine_counts
+            .keys()
+            .next()
+            .copied()
     }
 
     /// How many tasks of the job are held in machines' queues.
-    pub fn held_of(&self, job: &str) -> usize {
-        self.sums.jobs.get(job).map_or(0, |j| j.held.len())
+    pub fn queued_count(&self, job: &str) -> usize {
+        self.usage_totals
+            .job_usage
+            .get(job)
+            .map_or(0, |j| j.queued_machine_counts.len())
     }
 
     /// How many tasks of the job run or save.
-    pub fn running_of(&self, job: &str) -> u32 {
-        self.sums.jobs.get(job).map_or(0, |j| j.running)
+    pub fn running_count(&self, job: &str) -> u32 {
+        self.usage_totals
+            .job_usage
+            .get(job)
+            .map_or(0, |j| j.running_tasks)
     }
 
     /// Tasks of a job that may be on machines.
-    pub fn present_of(&self, job: &str) -> impl Iterator<Item = u32> + '_ {
-        let j = self.sums.jobs.get(job);
-        j.into_iter().flat_map(|j| j.present.keys().copied())
+    pub fn present_tasks(&self, job: &str) -> impl Iterator<Item = u32> + '_ {
+        let j = self.usage_totals.job_usage.get(job);
+        j.into_iter()
+            .flat_map(|j| j.present_machine_counts.keys().copied())
     }
 
     /// Machines with any placement or held task of the job.
-    pub fn of_job(&self, job: &str) -> Vec<String> {
-        let j = self.sums.jobs.get(job);
-        j.map_or(vec![], |j| j.machines.keys().cloned().collect())
+    pub fn machines_of_job(&self, job: &str) -> Vec<String> {
+        let j = self.usage_totals.job_usage.get(job);
+        j.map_or(vec![], |j| j.entries_by_machine.keys().cloned().collect())
     }
 
     /// Tasks of the job that may be in that zone, and elsewhere.
-    pub fn zones_of(&self, job: &str, zone: &str) -> (u32, u32) {
-        let Some(j) = self.sums.jobs.get(job) else {
+    pub fn task_counts_by_zone(&self, job: &str, zone: &str) -> (u32, u32) {
+        let Some(j) = self.usage_totals.job_usage.get(job) else {
             return (0, 0);
         };
-        let here = j.zones.get(zone).copied().unwrap_or(0);
-        (here, j.zones.values().sum::<u32>() - here)
+        let here = j.present_tasks_by_zone.get(zone).copied().unwrap_or(0);
+        (here, j.present_tasks_by_zone.values().sum::<u32>() - here)
     }
 
     /// Machines that have something to be commanded.
-    pub fn with_commands(&self) -> impl Iterator<Item = &Machine> {
-        self.sums.commands.iter().filter_map(|id| self.map.get(id))
+    pub fn with_pending_commands(&self) -> impl Iterator<Item = &Machine> {
+        self.usage_totals
+            .machines_with_commands
+            .iter()
+            .filter_map(|id| self.by_id.get(id))
     }
 
     /// Machines that are to be deleted.
-    pub fn deleting(&self) -> impl Iterator<Item = &Machine> {
-        self.sums.deleting.iter().filter_map(|id| self.map.get(id))
+    pub fn terminating(&self) -> impl Iterator<Item = &Machine> {
+        self.usage_totals
+            .terminating_machines
+            .iter()
+            .filter_map(|id| self.by_id.get(id))
     }
 
     /// Jobs whose running tasks changed in number since this was last asked.
-    pub fn take_counted(&mut self) -> BTreeSet<String> {
-        std::mem::take(&mut self.sums.counted)
+    pub fn take_jobs_with_changed_counts(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.usage_totals.jobs_with_changed_counts)
     }
 }
 
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -8,8 +8,8 @@
 mod work;
 
 pub use failures::Failures;
-pub use machine::{Life, Machine, Reach};
-pub use machines::{Edit, Machines};
+pub use machine::{Lifecycle, Machine, Reachability};
+pub use machines::{MachineGuard, Machines};
 pub use placement::{Phase, Placement};
-pub use stored::{Chunk, Shard, Stored};
-pub use work::Work;
+pub use stored::{MachineGroup, ResultChunk, StoredState};
+pub use work::JobState;
--- a/crates/control/src/ledger/placement.rs
+++ b/crates/control/src/ledger/placement.rs
@@ -1,5 +1,5 @@
 //! Placements: tasks on machines and the phases they go through.
-use crate::api::Ms;
+use crate::api::Millis;
 use crate::records::task_name;
 use crate::resources::Resources;
 use stonegw_wire::msg::ExitCause;
@@ -11,27 +11,27 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     /// Not stored yet: no `run` may go out.
-    New,
+    Unstored,
     /// Stored, but other tasks of its gang are not: no `run` may go out.
     Stored,
     /// Stored; no `run` has gone out.
-    Ready,
+    Startable,
     /// A `run` has gone out, by us or by an earlier leader; the worker has not shown it.
     Sent,
     /// Fetches its image.
     Fetching,
     /// Has its image and waits for the other tasks of its gang.
-    Gathering,
+    WaitingForGang,
     /// Runs, as far as its worker has told.
     Running,
     /// Told to stop, and saves its state.
-    Saving,
+    Checkpointing,
     /// Not on the machine any more. `settled`: what follows from it is stored.
     Exited {
         /// Why it ended.
         cause: ExitCause,
         /// What follows from it is stored.
-        settled: bool,
+        outcome_stored: bool,
     },
 }
 
@@ -51,28 +51,28 @@
     /// Accelerator cards it takes.
     pub gpus: f64,
     /// Memory it takes, in GB.
-    pub memory: f64,
+    pub memory_gb: f64,
     /// The team whose limit it counts towards.
     pub team: String,
     /// Stored by an earlier leader.
     pub inherited: bool,
     /// Wanted off the machine, with so many seconds to save.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// The last stop command's time, to repeat it not too often.
-    pub stop_sent: Ms,
+    pub last_stop_sent_at: Millis,
     /// The machine's highest sequence number when a `run` last went out in a report's answer:
     /// only a report with a higher one can prove that it did not arrive.
-    pub sent_seq: u64,
+    pub sent_sequence: u64,
     /// When it was first seen running.
-    pub running_at: Option<Ms>,
+    pub running_at: Option<Millis>,
     /// A pause of this process fell into it: how long it ran is not known.
-    pub run_untimed: bool,
+    pub run_time_unknown: bool,
     /// A command to forget the exited task went out.
-    pub clear_sent: bool,
+    pub forget_sent: bool,
     /// A `run` went out by a direct command, of which copies may arrive late.
-    pub direct: bool,
+    pub sent_directly: bool,
     /// When it was found to be gone.
-    pub exited_at: Option<Ms>,
+    pub exited_at: Option<Millis>,
 }
 
 impl Placement {
@@ -85,37 +85,40 @@
             phase,
             cpus: 0.0,
             gpus: 0.0,
-            memory: 0.0,
+            memory_gb: 0.0,
             team: String::new(),
             inherited: false,
-            stop: None,
-            stop_sent: 0,
-            sent_seq: 0,
+            stop_grace_s: None,
+            last_stop_sent_at: 0,
+            sent_sequence: 0,
             running_at: None,
-            run_untimed: false,
-            clear_sent: false,
-            direct: false,
+            run_time_unknown: false,
+            forget_sent: false,
+            sent_directly: false,
             exited_at: None,
         }
     }
 
     /// The task's name, from its job and number.
-    pub fn task(&self) -> String {
+    pub fn task_name(&self) -> String {
         task_name(&self.job, self.index)
     }
 
     /// What it takes of its machine.
-    pub fn takes(&self) -> Resources {
+    pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
-            memory_gb: self.memory,
+            memory_gb: self.memory_gb,
         }
     }
 
     /// No `run` has gone out for it: it may simply be taken back.
-    pub fn unsent(&self) -> bool {
-        matches!(self.phase, Phase::New | Phase::Stored | Phase::Ready)
+    pub fn is_unsent(&self) -> bool {
+        matches!(
+            self.phase,
+            Phase::Unstored | Phase::Stored | Phase::Startable
+        )
     }
 
     /// Moves it to another phase and traces the change.
@@ -123,7 +126,7 @@
         if self.phase != to {
             log::trace!(
                 "{}#{} {:?} -> {:?}",
-                self.task(),
+                self.task_name(),
                 self.attempt,
                 self.phase,
                 to
@@ -133,7 +136,7 @@
     }
 
     /// Counts towards limits, room, zones: all that is not proven gone.
-    pub fn present(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         !matches!(self.phase, Phase::Exited { .. })
     }
 }
--- a/crates/control/src/node/answers.rs
+++ b/crates/control/src/node/answers.rs
@@ -3,106 +3,113 @@
 
 impl Node {
     /// Notes whether the state service answers.
-    fn state_seen(&mut self, result: &CallResult) {
+    fn record_store_availability(&mut self, result: &CallResult) {
         match result {
             Ok((status, _)) if *status != 503 && *status != 429 => {
-                self.state_ok_at = self.now.ms;
-                self.state_failed_at = None;
+                self.last_store_success_at = self.now.monotonic_ms;
+                self.store_failing_since = None;
             }
             Ok((429, _)) => {}
             _ => {
-                self.state_failed_at.get_or_insert(self.now.ms);
+                self.store_failing_since
+                    .get_or_insert(self.now.monotonic_ms);
             }
         }
     }
 
-    pub(super) fn call_done(&mut self, call: u64, result: CallResult) {
-        let Some(what) = self.calls.remove(&call) else {
+    pub(super) fn handle_call_result(&mut self, call: u64, result: CallResult) {
+        let Some(what) = self.calls_in_flight.remove(&call) else {
             return;
         };
-        let now = self.now.ms;
+        let now = self.now.monotonic_ms;
         match what {
-            Call::Leader(c) => {
-                if c.is_state() {
-                    self.state_seen(&result);
+            NodeCall::Leader(c) => {
+                if c.targets_store() {
+                    self.record_store_availability(&result);
                 }
-                self.run_leader(|leader, ctx| leader.call_done(ctx, c, result));
+                self.with_leader(|leader, ctx| leader.call_done(ctx, c, result));
                 return;
             }
-            Call::Catalog => {
-                self.catalog_asked = false;
+            NodeCall::FetchCatalog => {
+                self.is_fetching_catalog = false;
                 match result {
                     Ok((200, body)) => match decode::<Catalog>(&body) {
                         Ok(c) => self.catalog = Some(c),
                         Err(e) => log::warn!("catalogue not understood: {e}"),
                     },
-                    other => log::warn!("no catalogue: {}", describe(&other)),
+                    other => log::warn!("no catalogue: {}", describe_result(&other)),
                 }
-                self.catalog_at = now + k::CLOUD_RETRY_MS;
+                self.next_catalog_fetch_at = now + k::CLOUD_RETRY_BACKOFF_MS;
                 return;
             }
             // A watch that hangs says nothing: during an outage open watches wait. Nor does one that
             // comes after calls have failed: the service may tell us alone, late, what it held
             // back while it refused us, and be away by then.
-            Call::Watch if result.is_err() || self.state_failed_at.is_some() => {}
-            _ => self.state_seen(&result),
+            NodeCall::Watch if result.is_err() || self.store_failing_since.is_some() => {}
+            _ => self.record_store_availability(&result),
         }
         match what {
-            Call::List => self.listed(result),
-            Call::Watch => {
-                self.watching = false;
-                match self.changes(result) {
-                    Some(true) if self.role == Role::Leading => self.watch_at = now,
-                    Some(true) => self.watch_at = now + k::WATCH_GAP_MS,
+            NodeCall::List => self.handle_list_page(result),
+            NodeCall::Watch => {
+                self.is_watching = false;
+                match self.apply_changes(result) {
+                    Some(true) if self.role == Role::Leader => self.next_watch_at = now,
+                    Some(true) => self.next_watch_at = now + k::FOLLOWER_WATCH_INTERVAL_MS,
                     Some(false) => self.relist(),
-                    None => self.watch_at = now + k::STATE_RETRY_MS,
+                    None => self.next_watch_at = now + k::STORE_RETRY_BACKOFF_MS,
                 }
             }
-            Call::Barrier { polls, sent } => {
-                self.barriers -= 1;
-                match self.changes(result) {
+            NodeCall::ReadBarrier {
+                requests: polls,
+                sent_at: sent,
+            } => {
+                self.barriers_in_flight -= 1;
+                match self.apply_changes(result) {
                     Some(true) => {
-                        self.coverage.read(sent);
+                        self.cancellation_watermark.record_read(sent);
                         for p in polls {
-                            self.answer(p);
+                            self.reply_after_barrier(p);
                         }
                     }
                     Some(false) => {
                         self.relist();
-                        self.give_up(polls);
+                        self.reply_unavailable_to_all(polls);
                     }
-                    None => self.give_up(polls),
+                    None => self.reply_unavailable_to_all(polls),
                 }
             }
-            Call::Store { batch, size } => self.stored(batch, size, result),
-            Call::Grant => match result {
-                Ok((200, body)) => match decode::<LeaseAnswer>(&body) {
-                    Ok(a) => self.claim(a.lease),
+            NodeCall::CommitUserRequests {
+                requests: batch,
+                size,
+            } => self.handle_user_commit_result(batch, size, result),
+            NodeCall::GrantLease => match result {
+                Ok((200, body)) => match decode::<LeaseResponse>(&body) {
+                    Ok(a) => self.campaign(a.lease_id),
                     Err(e) => {
                         log::warn!("lease answer not understood: {e}");
-                        self.set_role(Role::Waiting {
-                            until: now + k::STATE_RETRY_MAX_MS,
+                        self.set_role(Role::ElectionBackoff {
+                            until: now + k::STORE_RETRY_BACKOFF_MAX_MS,
                         });
                     }
                 },
-                _ => self.set_role(Role::Waiting {
-                    until: now + k::STATE_RETRY_MS,
+                _ => self.set_role(Role::ElectionBackoff {
+                    until: now + k::STORE_RETRY_BACKOFF_MS,
                 }),
             },
-            Call::Claim { lease } => self.claimed(lease, result),
-            Call::ReadReleases => self.releases_read(result),
-            Call::RecordRelease => self.release_recorded(result),
-            Call::ReportsViaState { machines, size } => {
-                self.stored_via_state(machines, size, result)
+            NodeCall::Campaign { lease } => self.handle_campaign_result(lease, result),
+            NodeCall::ReadVersionRecords => self.handle_version_records(result),
+            NodeCall::StoreVersionRecord => self.handle_version_record_stored(result),
+            NodeCall::HeartbeatsViaStore { machines, size } => {
+                self.handle_via_store_result(machines, size, result)
             }
-            Call::Release => {}
-            Call::Catalog | Call::Leader(_) => {}
+            NodeCall::RevokeLease => {}
+            NodeCall::FetchCatalog | NodeCall::Leader(_) => {}
         }
     }
 }
 
 /// An answer in words, for the log.
-pub(crate) fn describe(result: &CallResult) -> String {
+pub(crate) fn describe_result(result: &CallResult) -> String {
     match result {
         Ok((status, _)) => format!("status {status}"),
         Err(e) => format!("{e:?}"),
--- a/crates/control/src/node/calls.rs
+++ b/crates/control/src/node/calls.rs
@@ -2,39 +2,39 @@
 use super::*;
 
 /// A call that waits for its answer, with what the answer is needed for.
-pub(super) enum Call {
+pub(super) enum NodeCall {
     List,
     Watch,
-    Barrier {
-        polls: Vec<Pending>,
-        sent: Ms,
+    ReadBarrier {
+        requests: Vec<PendingRequest>,
+        sent_at: Millis,
     },
-    Store {
-        batch: Vec<Pending>,
+    CommitUserRequests {
+        requests: Vec<PendingRequest>,
         size: TransactionSize,
     },
-    ReportsViaState {
+    HeartbeatsViaStore {
         machines: Vec<String>,
         size: TransactionSize,
     },
-    Grant,
-    Claim {
+    GrantLease,
+    Campaign {
         lease: u64,
     },
-    Release,
-    ReadReleases,
-    RecordRelease,
-    Catalog,
-    Leader(crate::leader::Call),
+    RevokeLease,
+    ReadVersionRecords,
+    StoreVersionRecord,
+    FetchCatalog,
+    Leader(crate::leader::LeaderCall),
 }
 
 impl Node {
     /// Sends a transaction to the state service.
-    pub(super) fn transact(&mut self, txn: &Txn<Value>, what: Call) {
-        let (body, wait) = (encode(txn), k::STATE_TIMEOUT_MS);
+    pub(super) fn send_transaction(&mut self, txn: &Txn<StoredRecord>, what: NodeCall) {
+        let (body, wait) = (encode(txn), k::STORE_TIMEOUT_MS);
         let call = self
-            .out
-            .call(Target::State, "POST", "/multi".into(), body, wait);
-        self.calls.insert(call, what);
+            .outbox
+            .start_call(Target::Store, "POST", "/multi".into(), body, wait);
+        self.calls_in_flight.insert(call, what);
     }
 }
--- a/crates/control/src/node/can_run.rs
+++ b/crates/control/src/node/can_run.rs
@@ -4,16 +4,18 @@
 use stonegw_wire::msg::{Catalog, JobKind, JobSpec};
 
 /// 422 exactly where the protocol has it.
-pub fn can_run(spec: &JobSpec, set: &Settings, catalog: &Catalog) -> Result<(), String> {
+pub fn check_feasibility(spec: &JobSpec, set: &Settings, catalog: &Catalog) -> Result<(), String> {
     let Some(team) = set.team(&spec.team) else {
         return Err(format!("unknown team {}", spec.team));
     };
-    let fits = catalog.types.iter().any(|t| {
-        spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
+    let fits = catalog.machine_types.iter().any(|t| {
+        spec.machine_types
+            .as_ref()
+            .is_none_or(|l| l.contains(&t.name))
             && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && t.cpus + k::EPSILON >= spec.cpus
-            && t.gpus + k::EPSILON >= spec.gpus
-            && t.memory_gb + k::EPSILON >= spec.memory_gb
+            && t.cpus + k::RESOURCE_EPSILON >= spec.cpus
+            && t.gpus + k::RESOURCE_EPSILON >= spec.gpus
+            && t.memory_gb + k::RESOURCE_EPSILON >= spec.memory_gb
     });
     if !fits {
         return Err("a task fits no allowed machine type".into());
@@ -21,9 +23,11 @@
     let n = match spec.kind {
         JobKind::Array => 1.0,
         // All its tasks run at the same time.
-        JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
+        JobKind::Service | JobKind::Gang => f64::from(spec.task_count),
     };
-    if spec.cpus * n > team.cpus_max + k::EPSILON || spec.gpus * n > team.gpus_max + k::EPSILON {
+    if spec.cpus * n > team.limit_cpus + k::RESOURCE_EPSILON
+        || spec.gpus * n > team.limit_gpus + k::RESOURCE_EPSILON
+    {
         return Err("needs more than the team's limit".into());
     }
     Ok(())
--- a/crates/control/src/node/coverage.rs
+++ b/crates/control/src/node/coverage.rs
@@ -7,65 +7,70 @@
 //! together do, since each tells what it knows before it answers. That a node answers proves
 //! nothing of what an earlier life of it told: its answers count only from when a read, or
 //! the coverage as it was, has passed the moment at which the new life was first heard.
-use crate::api::Ms;
+use crate::api::Millis;
 
-struct Attested {
-    life: u64,
+struct PeerWatermark {
+    incarnation: u64,
     /// What earlier lives told, they told before this.
-    from: Ms,
-    upto: Ms,
+    first_heard_at: Millis,
+    watermark: Millis,
 }
 
-pub(super) struct Coverage {
-    upto: Option<Ms>,
-    peers: Vec<Option<Attested>>,
+pub(super) struct CancellationWatermark {
+    watermark: Option<Millis>,
+    peer_watermarks: Vec<Option<PeerWatermark>>,
 }
 
-impl Coverage {
-    pub fn new(peers: usize) -> Coverage {
-        Coverage {
-            upto: None,
-            peers: (0..peers).map(|_| None).collect(),
+impl CancellationWatermark {
+    pub fn new(peers: usize) -> CancellationWatermark {
+        CancellationWatermark {
+            watermark: None,
+            peer_watermarks: (0..peers).map(|_| None).collect(),
         }
     }
 
     /// `None` until the state service has been read once: our own earlier life may have told.
-    pub fn upto(&self, now: Ms) -> Option<Ms> {
+    pub fn watermark(&self, now: Millis) -> Option<Millis> {
         // Where there is no other node, nobody else can have told anything.
-        self.upto
-            .map(|at| if self.peers.is_empty() { now } else { at })
+        self.watermark.map(|at| {
+            if self.peer_watermarks.is_empty() {
+                now
+            } else {
+                at
+            }
+        })
     }
 
     /// All changes were read by a request sent at this time.
-    pub fn read(&mut self, sent: Ms) {
-        self.upto = self.upto.max(Some(sent));
-        self.extend();
+    pub fn record_read(&mut self, sent: Millis) {
+        self.watermark = self.watermark.max(Some(sent));
+        self.advance();
     }
 
     /// A node has told all it knows, later than we asked it.
-    pub fn attested(&mut self, peer: usize, life: u64, asked: Ms, now: Ms) {
-        match &mut self.peers[peer] {
-            Some(a) if a.life == life => a.upto = a.upto.max(asked),
+    pub fn record_peer_answer(&mut self, peer: usize, life: u64, asked: Millis, now: Millis) {
+        match &mut self.peer_watermarks[peer] {
+            Some(a) if a.incarnation == life => a.watermark = a.watermark.max(asked),
             other => {
-                *other = Some(Attested {
-                    life,
-                    from: now,
-                    upto: asked,
+                *other = Some(PeerWatermark {
+                    incarnation: life,
+                    first_heard_at: now,
+                    watermark: asked,
                 });
             }
         }
-        self.extend();
+        self.advance();
     }
 
-    fn extend(&mut self) {
-        let Some(upto) = self.upto else { return };
-        let after = |a: &Option<Attested>| {
-            let a = a.as_ref().filter(|a| a.from <= upto);
-            a.map(|a| a.upto)
+    fn advance(&mut self) {
+        let Some(upto) = self.watermark else { return };
+        let after = |a: &Option<PeerWatermark>| {
+            let a = a.as_ref().filter(|a| a.first_heard_at <= upto);
+            a.map(|a| a.watermark)
         };
-        let all: Option<Vec<Ms>> = self.peers.iter().map(after).collect();
+        let all: Option<Vec<Millis>> = self.peer_watermarks.iter().map(after).collect();
         if let Some(first) = all.and_then(|all| all.into_iter().min()) {
-            self.upto = Some(upto.max(first));
+            self.watermark = Some(upto.max(first));
         }
     }
 }
--- a/crates/control/src/node/elect.rs
+++ b/crates/control/src/node/elect.rs
@@ -2,49 +2,61 @@
 use super::*;
 
 impl Node {
-    pub(super) fn advance_sync(&mut self) {
-        let now = self.now.ms;
-        match &mut self.sync {
-            Sync::Listing {
-                after,
+    pub(super) fn advance_replica_sync(&mut self) {
+        let now = self.now.monotonic_ms;
+        match &mut self.replica_sync {
+            ReplicaSync::Listing {
+                start_after: after,
                 retry_at,
-                asked,
+                request_in_flight: asked,
                 ..
             } => {
-                if !*asked && now >= *retry_at && self.reads.take(now, 1.0) {
+                if !*asked && now >= *retry_at && self.read_budget.try_take(now, 1.0) {
                     *asked = true;
-                    let mut path = format!("/kv?prefix={COMMON}&limit={}", k::LIST_PAGE);
+                    let mut path = format!(
+                        "/kv?prefix={REPLICATED_PREFIX}&limit={}",
+                        k::LIST_PAGE_ENTRIES
+                    );
                     if let Some(a) = after {
                         path.push_str(&format!("&since={a}"));
                     }
-                    let call =
-                        self.out
-                            .call(Target::State, "GET", path, vec![], k::STATE_TIMEOUT_MS);
-                    self.calls.insert(call, Call::List);
+                    let call = self.outbox.start_call(
+                        Target::Store,
+                        "GET",
+                        path,
+                        vec![],
+                        k::STORE_TIMEOUT_MS,
+                    );
+                    self.calls_in_flight.insert(call, NodeCall::List);
                 }
             }
-            Sync::Live => {
-                if !self.watching && now >= self.watch_at && self.reads.take(now, 1.0) {
-                    self.watching = true;
+            ReplicaSync::Live => {
+                if !self.is_watching
+                    && now >= self.next_watch_at
+                    && self.read_budget.try_take(now, 1.0)
+                {
+                    self.is_watching = true;
                     let path = format!(
-                        "/changes?prefix={COMMON}&since={}&holdMs={}",
+                        "/changes?prefix={REPLICATED_PREFIX}&since={}&holdMs={}",
                         self.replica.revision,
-                        k::WATCH_HOLD_MS
+                        k::WATCH_LONG_POLL_MS
                     );
-                    let wait = k::WATCH_HOLD_MS + k::WATCH_GRACE_MS;
-                    let call = self.out.call(Target::State, "GET", path, vec![], wait);
-                    self.calls.insert(call, Call::Watch);
+                    let wait = k::WATCH_LONG_POLL_MS + k::WATCH_GRACE_MS;
+                    let call = self
+                        .outbox
+                        .start_call(Target::Store, "GET", path, vec![], wait);
+                    self.calls_in_flight.insert(call, NodeCall::Watch);
                 }
             }
         }
     }
 
     pub(super) fn relist(&mut self) {
-        self.sync = Sync::Listing {
-            after: None,
-            first: None,
-            retry_at: self.now.ms + k::STATE_RETRY_MS,
-            asked: false,
+        self.replica_sync = ReplicaSync::Listing {
+            start_after: None,
+            first_page_revision: None,
+            retry_at: self.now.monotonic_ms + k::STORE_RETRY_BACKOFF_MS,
+            request_in_flight: false,
         };
     }
 
@@ -53,108 +65,113 @@
             return;
         }
         log::info!("role {:?} -> {:?}", self.role, to);
-        let led = self.role == Role::Leading;
+        let led = self.role == Role::Leader;
         for p in &mut self.peers {
-            p.counted = false;
+            p.has_all_counts = false;
         }
         self.role = to;
-        if led || self.role == Role::Leading {
+        if led || self.role == Role::Leader {
             self.share_budgets();
         }
         if led {
             self.leader = None;
-            self.calls.retain(|_, c| !matches!(c, Call::Leader(_)));
+            self.calls_in_flight
+                .retain(|_, c| !matches!(c, NodeCall::Leader(_)));
         }
     }
 
     pub(super) fn advance_role(&mut self) {
-        let now = self.now.ms;
+        let now = self.now.monotonic_ms;
         let term = self.replica.term();
         // Any higher term than our own ends our leadership, wherever we heard of it.
         if let Some(l) = &self.leader {
             if l.deposed || term != Some(l.term) || self.higher_term > l.term {
                 log::warn!("term {} is over", l.term);
                 if l.resigned {
-                    self.release.push(l.lease);
-                    self.stand_at = now + k::DEAF_PAUSE_MS;
+                    self.leases_to_revoke.push(l.lease);
+                    self.next_campaign_at = now + k::CANDIDACY_PAUSE_MS;
                     self.resigned_at = Some(now);
                 }
                 self.set_role(Role::Follower);
             }
         }
-        if self.sync != Sync::Live {
+        if self.replica_sync != ReplicaSync::Live {
             return;
         }
         let holder = self.replica.leader.clone();
         match (&self.role, holder) {
-            (Role::Leading, _) => {}
-            (Role::Granting, _) => {}
-            (Role::Claiming { .. }, _) => {}
-            (Role::Checking { lease, until }, Some((l, term))) => {
+            (Role::Leader, _) => {}
+            (Role::AcquiringLease, _) => {}
+            (Role::Campaigning { .. }, _) => {}
+            (Role::CampaignUnconfirmed { lease, until }, Some((l, term))) => {
                 let (lease, until) = (*lease, *until);
-                if l.nonce == self.nonce && l.lease == lease {
-                    self.lead(lease, term);
+                if l.nonce == self.incarnation && l.lease == lease {
+                    self.become_leader(lease, term);
                 } else if now >= until {
-                    self.release.push(lease);
+                    self.leases_to_revoke.push(lease);
                     self.set_role(Role::Follower);
                 }
             }
-            (Role::Checking { lease, until }, None) => {
+            (Role::CampaignUnconfirmed { lease, until }, None) => {
                 let (lease, until) = (*lease, *until);
                 // By now the lease is over, and with it the late claim's chance.
                 if now >= until {
-                    self.release.push(lease);
+                    self.leases_to_revoke.push(lease);
                     self.set_role(Role::Follower);
                 }
             }
             (_, Some((l, _))) => {
-                if l.node == self.set.node && l.nonce != self.nonce {
+                if l.node == self.settings.node_name && l.nonce != self.incarnation {
                     // The key of our earlier life: nobody acts under it, so it need not run out.
-                    if !self.release.contains(&l.lease) {
+                    if !self.leases_to_revoke.contains(&l.lease) {
                         log::info!("ending the lease of our earlier life");
-                        self.release.push(l.lease);
+                        self.leases_to_revoke.push(l.lease);
                     }
                 }
                 self.set_role(Role::Follower);
             }
             (Role::Follower, None) => {
-                let wait = self.rng.random_range(0..k::ELECT_JITTER_MS);
-                self.set_role(Role::Waiting { until: now + wait });
+                let wait = self.rng.random_range(0..k::ELECTION_JITTER_MS);
+                self.set_role(Role::ElectionBackoff { until: now + wait });
             }
-            (Role::Waiting { until }, None) => {
-                let due = now >= *until && now >= self.stand_at;
-                if due && self.proven() && self.catalog.is_some() {
-                    self.reads.force(now, 1.0);
+            (Role::ElectionBackoff { until }, None) => {
+                let due = now >= *until && now >= self.next_campaign_at;
+                if due && self.has_synced_since_pause() && self.catalog.is_some() {
+                    self.read_budget.take_unconditionally(now, 1.0);
                     let body = encode(&LeaseRequest {
-                        ttl_ms: self.set.tuning.leader_ttl_ms,
+                        ttl_ms: self.settings.tuning.leader_lease_ttl_ms,
                     });
-                    let call = self.out.call(
-                        Target::State,
+                    let call = self.outbox.start_call(
+                        Target::Store,
                         "POST",
                         "/grants".into(),
                         body,
-                        k::STATE_TIMEOUT_MS,
+                        k::STORE_TIMEOUT_MS,
                     );
-                    self.calls.insert(call, Call::Grant);
-                    self.grant_sent = now;
-                    self.set_role(Role::Granting);
+                    self.calls_in_flight.insert(call, NodeCall::GrantLease);
+                    self.lease_requested_at = now;
+                    self.set_role(Role::AcquiringLease);
                 }
             }
         }
-        if let Some(lease) = self.release.pop() {
-            if self.reads.take(now, 1.0) {
+        if let Some(lease) = self.leases_to_revoke.pop() {
+            if self.read_budget.try_take(now, 1.0) {
                 let path = format!("/grants/{lease}");
-                let call =
-                    self.out
-                        .call(Target::State, "DELETE", path, vec![], k::STATE_TIMEOUT_MS);
-                self.calls.insert(call, Call::Release);
+                let call = self.outbox.start_call(
+                    Target::Store,
+                    "DELETE",
+                    path,
+                    vec![],
+                    k::STORE_TIMEOUT_MS,
+                );
+                self.calls_in_flight.insert(call, NodeCall::RevokeLease);
             } else {
-                self.release.push(lease);
+                self.leases_to_revoke.push(lease);
             }
         }
     }
 
-    pub(super) fn lead(&mut self, lease: u64, term: u64) {
+    pub(super) fn become_leader(&mut self, lease: u64, term: u64) {
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
@@ -163,35 +180,35 @@
         self.leader = Some(Box::new(Leader::new(
             term,
             lease,
-            self.now.ms,
-            self.grant_sent,
+            self.now.monotonic_ms,
+            self.lease_requested_at,
             catalog,
-            &self.set,
+            &self.settings,
         )));
-        self.set_role(Role::Leading);
+        self.set_role(Role::Leader);
     }
 
-    pub(super) fn listed(&mut self, result: CallResult) {
-        let now = self.now.ms;
-        let Sync::Listing {
-            after,
-            first,
+    pub(super) fn handle_list_page(&mut self, result: CallResult) {
+        let now = self.now.monotonic_ms;
+        let ReplicaSync::Listing {
+            start_after: after,
+            first_page_revision: first,
             retry_at,
-            asked,
-        } = &mut self.sync
+            request_in_flight: asked,
+        } = &mut self.replica_sync
         else {
             return;
         };
         *asked = false;
-        *retry_at = now + k::STATE_RETRY_MS;
+        *retry_at = now + k::STORE_RETRY_BACKOFF_MS;
         let body = match result {
             Ok((200, body)) => body,
             other => {
-                log::debug!("list failed: {}", describe(&other));
+                log::debug!("list failed: {}", describe_result(&other));
                 return;
             }
         };
-        let page: Listing<Common> = match decode(&body) {
+        let page: ListPage<ReplicatedRecord> = match decode(&body) {
             Ok(p) => p,
             Err(e) => {
                 log::warn!("list not understood: {e}");
@@ -200,17 +217,17 @@
         };
         let start = *first.get_or_insert(page.revision);
         *retry_at = now;
-        *after = page.items.last().map(|e| e.key.clone()).or(after.take());
-        let leader_listed = page.items.iter().any(|e| e.key == LEADER);
-        self.replica.list_page(page.items);
+        *after = page.entries.last().map(|e| e.key.clone()).or(after.take());
+        let leader_listed = page.entries.iter().any(|e| e.key == LEADER_KEY);
+        self.replica.apply_page(page.entries);
         // Old ones: who lacks some of them gets them with our next answer.
         self.replica.unsent_cancellations.clear();
-        if !page.more {
+        if !page.has_more {
             if !leader_listed {
-                self.replica.no_leader_at(page.revision);
+                self.replica.clear_leader(page.revision);
             }
             self.replica.revision = self.replica.revision.max(start);
-            self.sync = Sync::Live;
+            self.replica_sync = ReplicaSync::Live;
             log::info!(
                 "{} jobs known at revision {}",
                 self.replica.jobs.len(),
@@ -220,12 +237,12 @@
     }
 
     /// `Some(true)`: applied; `Some(false)`: list again; `None`: no answer.
-    pub(super) fn changes(&mut self, result: CallResult) -> Option<bool> {
+    pub(super) fn apply_changes(&mut self, result: CallResult) -> Option<bool> {
         match result {
-            Ok((200, body)) => match decode::<Changes<Common>>(&body) {
+            Ok((200, body)) => match decode::<WatchResponse<ReplicatedRecord>>(&body) {
                 Ok(c) => {
-                    self.replica.apply(c);
-                    self.tell_cancelled();
+                    self.replica.apply_changes(c);
+                    self.announce_cancellations();
                     Some(true)
                 }
                 Err(e) => {
@@ -235,68 +252,68 @@
             },
             Ok((410, _)) => Some(false),
             // So much has changed that the pages of a list are shorter; the same answer would come again.
-            Err(CallError::TooLarge) => Some(false),
+            Err(CallError::ResponseTooLarge) => Some(false),
             other => {
-                log::debug!("no changes: {}", describe(&other));
+                log::debug!("no changes: {}", describe_result(&other));
                 None
             }
         }
     }
 
-    pub(super) fn claim(&mut self, lease: u64) {
-        let now = self.now.ms;
+    pub(super) fn campaign(&mut self, lease: u64) {
+        let now = self.now.monotonic_ms;
         let record = LeaderRecord {
-            node: self.set.node.clone(),
-            nonce: self.nonce,
+            node: self.settings.node_name.clone(),
+            nonce: self.incarnation,
             lease,
         };
-        self.reads.force(now, 1.0);
-        self.writes.force(now, 1.0);
+        self.read_budget.take_unconditionally(now, 1.0);
+        self.write_budget.take_unconditionally(now, 1.0);
         let txn = Txn {
             conditions: vec![Condition {
-                key: LEADER.into(),
-                version: 0,
+                key: LEADER_KEY.into(),
+                revision: 0,
             }],
             writes: vec![Write::Put {
-                key: LEADER.into(),
-                value: Value::Leader(record),
-                lease: Some(lease),
+                key: LEADER_KEY.into(),
+                value: StoredRecord::Leader(record),
+                lease_id: Some(lease),
             }],
         };
-        self.transact(&txn, Call::Claim { lease });
-        self.set_role(Role::Claiming { lease });
+        self.send_transaction(&txn, NodeCall::Campaign { lease });
+        self.set_role(Role::Campaigning { lease });
     }
 
-    pub(super) fn claimed(&mut self, lease: u64, result: CallResult) {
-        let now = self.now.ms;
+    pub(super) fn handle_campaign_result(&mut self, lease: u64, result: CallResult) {
+        let now = self.now.monotonic_ms;
         match result {
             Ok((200, body)) => {
-                if let Ok(a) = decode::<TxnAnswer>(&body) {
+                if let Ok(a) = decode::<TxnResponse>(&body) {
                     let record = LeaderRecord {
-                        node: self.set.node.clone(),
-                        nonce: self.nonce,
+                        node: self.settings.node_name.clone(),
+                        nonce: self.incarnation,
                         lease,
                     };
-                    self.replica.we_lead(record, a.revision);
+                    self.replica.record_own_election(record, a.revision);
                     if self.replica.term() == Some(a.revision) {
-                        return self.lead(lease, a.revision);
+                        return self.become_leader(lease, a.revision);
                     }
                 }
-                self.release.push(lease);
+                self.leases_to_revoke.push(lease);
                 self.set_role(Role::Follower);
             }
             Ok((409 | 400 | 429 | 503, _)) | Err(CallError::NotSent) => {
-                self.release.push(lease);
-                let wait = self.rng.random_range(0..k::ELECT_JITTER_MS);
-                self.set_role(Role::Waiting {
-                    until: now + k::STATE_RETRY_MS + wait,
+                self.leases_to_revoke.push(lease);
+                let wait = self.rng.random_range(0..k::ELECTION_JITTER_MS);
+                self.set_role(Role::ElectionBackoff {
+                    until: now + k::STORE_RETRY_BACKOFF_MS + wait,
                 });
             }
             // It may have been carried out, or may be later: reading settles it. After the
             // lease's life it no longer can be.
-            _ => self.set_role(Role::Checking {
+            _ => self.set_role(Role::CampaignUnconfirmed {
                 lease,
-                until: now + self.set.tuning.leader_ttl_ms,
+                until: now + self.settings.tuning.leader_lease_ttl_ms,
             }),
         }
     }
--- a/crates/control/src/node/gate.rs
+++ b/crates/control/src/node/gate.rs
@@ -7,7 +7,7 @@
 //! for the life of the process. Until then nothing is stored or sent that an earlier release
 //! can't read. Answers that fail, are lost or come late only delay it.
 use super::*;
-use crate::records::{release_key, ReleaseRecord, RELEASES, RELEASE_FIELD};
+use crate::records::{version_key, VersionRecord, VERSIONS_PREFIX, VERSION_FIELD};
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 /// whose elements could be taken for its fields in turn, would pass.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
-pub(super) enum StoredRelease {
+pub(super) enum StoredVersionRecord {
     Known(BTreeMap<String, StoredField>),
     /// A value of an unknown form stands for no release.
     Unknown(IgnoredAny),
@@ -29,242 +29,254 @@
     Other(IgnoredAny),
 }
 
-impl StoredRelease {
+impl StoredVersionRecord {
     /// Whether whoever stored it runs this release or a higher one.
     fn is_current(&self) -> bool {
-        let StoredRelease::Known(fields) = self else {
+        let StoredVersionRecord::Known(fields) = self else {
             return false;
         };
-        let field = fields.get(RELEASE_FIELD);
-        matches!(field, Some(StoredField::Number(release)) if *release >= k::RELEASE)
+        let field = fields.get(VERSION_FIELD);
+        matches!(field, Some(StoredField::Number(release)) if *release >= k::PROGRAM_VERSION)
     }
 }
 
 /// What the pages of one read of `v/` have shown so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Round {
+struct VersionScan {
     /// The last key of the last page.
-    after: Option<String>,
+    start_after: Option<String>,
     /// Keys of nodes that run this release or a higher one.
-    current: BTreeSet<String>,
+    current_keys: BTreeSet<String>,
     /// The stamp of our own record, 0 where none was read.
-    own_version: u64,
+    own_record_revision: u64,
 }
 
 /// All states but the last are closed.
 #[derive(Clone, Debug, PartialEq)]
-enum State {
+enum FeatureGateState {
     /// The next round of reading begins then.
-    Waiting { until: Ms },
+    Waiting { until: Millis },
     /// The next page of a round is to be asked for.
-    PageDue(Round),
+    ReadPending(VersionScan),
     /// That page is asked for.
-    Reading(Round),
+    ReadInFlight(VersionScan),
     /// Our record is missing, or of a lower release at this stamp, and is to be stored.
-    RecordDue { version: u64 },
+    WritePending { revision: u64 },
     /// The transaction that stores it is on its way.
-    Recording,
+    WriteInFlight,
     /// Every known node runs this release or a higher one.
     Open,
 }
 
 /// Whether every controller is known to run this release.
-pub(super) struct Gate {
-    state: State,
+pub(super) struct FeatureGate {
+    state: FeatureGateState,
     own_key: String,
     /// The keys that must be current: our own and every peer's.
-    needed: BTreeSet<String>,
+    required_keys: BTreeSet<String>,
 }
 
-impl Gate {
-    pub fn new(node: &str, peers: &[String]) -> Gate {
-        let own_key = release_key(node);
-        let mut needed: BTreeSet<String> = peers.iter().map(|p| release_key(p)).collect();
-        needed.insert(own_key.clone());
-        Gate {
-            state: State::Waiting { until: 0 },
+impl FeatureGate {
+    pub fn new(node: &str, peers: &[String]) -> FeatureGate {
+        let own_key = version_key(node);
+        let mut required_keys: BTreeSet<String> = peers.iter().map(|p| version_key(p)).collect();
+        required_keys.insert(own_key.clone());
+        FeatureGate {
+            state: FeatureGateState::Waiting { until: 0 },
             own_key,
-            needed,
+            required_keys,
         }
     }
 
     pub fn is_open(&self) -> bool {
-        self.state == State::Open
+        self.state == FeatureGateState::Open
     }
 
     /// The one place where the state changes.
-    fn enter(&mut self, to: State) {
-        if to == State::Open {
-            log::info!("every controller runs release {} or higher", k::RELEASE);
+    fn transition_to(&mut self, to: FeatureGateState) {
+        if to == FeatureGateState::Open {
+            log::info!(
+                "every controller runs release {} or higher",
+                k::PROGRAM_VERSION
+            );
         }
         self.state = to;
     }
 
     /// `Waiting` -> `PageDue`, when its time has come.
-    fn begin_round(&mut self, now: Ms) {
-        if matches!(self.state, State::Waiting { until } if now >= until) {
-            self.enter(State::PageDue(Round::default()));
+    fn start_scan_if_due(&mut self, now: Millis) {
+        if matches!(self.state, FeatureGateState::Waiting { until } if now >= until) {
+            self.transition_to(FeatureGateState::ReadPending(VersionScan::default()));
         }
     }
 
     /// `PageDue` -> `Reading`.
-    fn page_asked(&mut self) {
-        if let State::PageDue(round) = &self.state {
+    fn mark_read_in_flight(&mut self) {
+        if let FeatureGateState::ReadPending(round) = &self.state {
             let round = round.clone();
-            self.enter(State::Reading(round));
+            self.transition_to(FeatureGateState::ReadInFlight(round));
         }
     }
 
     /// `Reading` -> `PageDue`, `RecordDue`, `Open`, or `Waiting` for those that are missing.
-    fn page_read(&mut self, page: Listing<StoredRelease>, next_round: Ms) {
-        let State::Reading(round) = &self.state else {
+    fn apply_page(&mut self, page: ListPage<StoredVersionRecord>, next_round: Millis) {
+        let FeatureGateState::ReadInFlight(round) = &self.state else {
             return;
         };
         let mut round = round.clone();
-        let last = page.items.last().map(|entry| entry.key.clone());
-        for entry in page.items {
+        let last = page.entries.last().map(|entry| entry.key.clone());
+        for entry in page.entries {
             if entry.key == self.own_key {
-                round.own_version = entry.version;
+                round.own_record_revision = entry.revision;
             }
             if entry.value.is_current() {
-                round.current.insert(entry.key);
+                round.current_keys.insert(entry.key);
             }
         }
-        if page.more && last.is_some() {
-            round.after = last;
-            return self.enter(State::PageDue(round));
+        if page.has_more && last.is_some() {
+            round.start_after = last;
+            return self.transition_to(FeatureGateState::ReadPending(round));
         }
-        if !round.current.contains(&self.own_key) {
-            let version = round.own_version;
-            return self.enter(State::RecordDue { version });
+        if !round.current_keys.contains(&self.own_key) {
+            let revision = round.own_record_revision;
+            return self.transition_to(FeatureGateState::WritePending { revision });
         }
-        if self.needed.is_subset(&round.current) {
-            return self.enter(State::Open);
+        if self.required_keys.is_subset(&round.current_keys) {
+            return self.transition_to(FeatureGateState::Open);
         }
-        let missing: Vec<&String> = self.needed.difference(&round.current).collect();
+        let missing: Vec<&String> = self.required_keys.difference(&round.current_keys).collect();
         log::debug!("gate closed, missing {missing:?}");
-        self.enter(State::Waiting { until: next_round });
+        self.transition_to(FeatureGateState::Waiting { until: next_round });
     }
 
     /// `Reading` -> `Waiting`.
-    fn read_failed(&mut self, next_round: Ms) {
-        if matches!(self.state, State::Reading(_)) {
-            self.enter(State::Waiting { until: next_round });
+    fn handle_read_failure(&mut self, next_round: Millis) {
+        if matches!(self.state, FeatureGateState::ReadInFlight(_)) {
+            self.transition_to(FeatureGateState::Waiting { until: next_round });
         }
     }
 
     /// `RecordDue` -> `Recording`.
-    fn record_sent(&mut self) {
-        if matches!(self.state, State::RecordDue { .. }) {
-            self.enter(State::Recording);
+    fn mark_write_in_flight(&mut self) {
+        if matches!(self.state, FeatureGateState::WritePending { .. }) {
+            self.transition_to(FeatureGateState::WriteInFlight);
         }
     }
 
     /// `Recording` -> `Waiting`: whatever became of the transaction, the next round shows it.
-    fn record_answered(&mut self, next_round: Ms) {
-        if self.state == State::Recording {
-            self.enter(State::Waiting { until: next_round });
+    fn handle_write_reply(&mut self, next_round: Millis) {
+        if self.state == FeatureGateState::WriteInFlight {
+            self.transition_to(FeatureGateState::Waiting { until: next_round });
         }
     }
 }
 
 impl Node {
     /// Whether every controller is known to run a release that can read a gang's record.
-    pub fn gangs_open(&self) -> bool {
-        self.gate.is_open()
+    pub fn gangs_enabled(&self) -> bool {
+        self.feature_gate.is_open()
     }
 
     /// Lets the gate send what is due, within the budget, once the copy of `c/` is live.
-    pub(super) fn advance_gate(&mut self) {
-        if self.sync != Sync::Live {
+    pub(super) fn advance_feature_gate(&mut self) {
+        if self.replica_sync != ReplicaSync::Live {
             return;
         }
-        self.gate.begin_round(self.now.ms);
-        match &self.gate.state {
-            State::PageDue(round) => {
-                let after = round.after.clone();
-                self.read_releases(after);
+        self.feature_gate.start_scan_if_due(self.now.monotonic_ms);
+        match &self.feature_gate.state {
+            FeatureGateState::ReadPending(round) => {
+                let after = round.start_after.clone();
+                self.request_version_records(after);
             }
-            State::RecordDue { version } => {
-                let version = *version;
-                self.record_release(version);
+            FeatureGateState::WritePending { revision } => {
+                let revision = *revision;
+                self.store_version_record(revision);
             }
-            State::Waiting { .. } | State::Reading(_) | State::Recording | State::Open => {}
+            FeatureGateState::Waiting { .. }
+            | FeatureGateState::ReadInFlight(_)
+            | FeatureGateState::WriteInFlight
+            | FeatureGateState::Open => {}
         }
     }
 
-    fn read_releases(&mut self, after: Option<String>) {
-        if !self.reads.take(self.now.ms, 1.0) {
+    fn request_version_records(&mut self, after: Option<String>) {
+        if !self.read_budget.try_take(self.now.monotonic_ms, 1.0) {
             return;
         }
-        let mut path = format!("/kv?prefix={RELEASES}&limit={}", k::LIST_PAGE);
+        let mut path = format!(
+            "/kv?prefix={VERSIONS_PREFIX}&limit={}",
+            k::LIST_PAGE_ENTRIES
+        );
         if let Some(key) = after {
             path.push_str(&format!("&since={key}"));
         }
         let call = self
-            .out
-            .call(Target::State, "GET", path, vec![], k::STATE_TIMEOUT_MS);
-        self.calls.insert(call, Call::ReadReleases);
-        self.gate.page_asked();
+            .outbox
+            .start_call(Target::Store, "GET", path, vec![], k::STORE_TIMEOUT_MS);
+        self.calls_in_flight
+            .insert(call, NodeCall::ReadVersionRecords);
+        self.feature_gate.mark_read_in_flight();
     }
 
     /// The condition makes a late or repeated transaction harmless: a record that stands is only
     /// replaced while it is the one that was read.
-    fn record_release(&mut self, version: u64) {
-        let now = self.now.ms;
-        if self.writes.level(now) < 1.0 || !self.reads.take(now, 1.0) {
+    fn store_version_record(&mut self, revision: u64) {
+        let now = self.now.monotonic_ms;
+        if self.write_budget.available(now) < 1.0 || !self.read_budget.try_take(now, 1.0) {
             return;
         }
-        self.writes.force(now, 1.0);
-        let key = self.gate.own_key.clone();
-        let record = ReleaseRecord {
-            release: k::RELEASE,
+        self.write_budget.take_unconditionally(now, 1.0);
+        let key = self.feature_gate.own_key.clone();
+        let record = VersionRecord {
+            version: k::PROGRAM_VERSION,
         };
         let txn = Txn {
             conditions: vec![Condition {
                 key: key.clone(),
-                version,
+                revision,
             }],
             writes: vec![Write::Put {
                 key,
-                value: Value::Release(record),
-                lease: None,
+                value: StoredRecord::Version(record),
+                lease_id: None,
             }],
         };
-        self.transact(&txn, Call::RecordRelease);
-        self.gate.record_sent();
+        self.send_transaction(&txn, NodeCall::StoreVersionRecord);
+        self.feature_gate.mark_write_in_flight();
     }
 
-    pub(super) fn releases_read(&mut self, result: CallResult) {
-        let next_round = self.next_gate_round();
+    pub(super) fn handle_version_records(&mut self, result: CallResult) {
+        let next_round = self.next_version_scan_at();
         let page = match result {
-            Ok((200, body)) => decode::<Listing<StoredRelease>>(&body),
-            other => Err(describe(&other)),
+            Ok((200, body)) => decode::<ListPage<StoredVersionRecord>>(&body),
+            other => Err(describe_result(&other)),
         };
         match page {
-            Ok(page) => self.gate.page_read(page, next_round),
+            Ok(page) => self.feature_gate.apply_page(page, next_round),
             Err(why) => {
                 log::debug!("releases not read: {why}");
-                self.gate.read_failed(next_round);
+                self.feature_gate.handle_read_failure(next_round);
             }
         }
     }
 
-    pub(super) fn release_recorded(&mut self, result: CallResult) {
+    pub(super) fn handle_version_record_stored(&mut self, result: CallResult) {
         let next_round = match result {
-            Ok((200, _)) => self.now.ms,
+            Ok((200, _)) => self.now.monotonic_ms,
             other => {
-                log::debug!("release not recorded: {}", describe(&other));
-                self.next_gate_round()
+                log::debug!("release not recorded: {}", describe_result(&other));
+                self.next_version_scan_at()
             }
         };
-        self.gate.record_answered(next_round);
+        self.feature_gate.handle_write_reply(next_round);
     }
 
     /// Rounds keep to a small part of the node's budget of requests.
-    fn next_gate_round(&self) -> Ms {
-        let per_second = self.reads.rate() * k::GATE_READ_PART;
-        let least_ms = (1e3 / per_second) as Ms;
-        self.now.ms.saturating_add(least_ms.max(k::GATE_READ_MS))
+    fn next_version_scan_at(&self) -> Millis {
+        let per_second = self.read_budget.tokens_per_s() * k::FEATURE_GATE_READ_FRACTION;
+        let least_ms = (1e3 / per_second) as Millis;
+        self.now
+            .monotonic_ms
+            .saturating_add(least_ms.max(k::FEATURE_GATE_READ_INTERVAL_MS))
     }
 }
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -1,23 +1,25 @@
 //! One controller: what every node does (user requests, the copy of the jobs, relaying reports,
 //! standing for election) and, while it leads, the leader inside.
-use crate::api::{Action, CallError, CallResult, Event, Link, Ms, Now, Target};
+use crate::api::{Action, CallError, CallResult, Event, Link, Millis, Now, Target};
 use crate::leader::Leader;
 use crate::limits::{StoreLimits, TransactionSize};
 use crate::pause::PauseDetector;
 use crate::records::{
-    self, Common, End, FarRecord, JobRecord, LeaderRecord, Value, COMMON, LEADER,
+    self, JobEnd, JobRecord, LeaderRecord, RelayedHeartbeatsRecord, ReplicatedRecord, StoredRecord,
+    LEADER_KEY, REPLICATED_PREFIX,
 };
 use crate::replica::Replica;
-use crate::settings::{Bucket, Settings};
+use crate::settings::{Settings, TokenBucket};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use stonegw_constants as k;
-use stonegw_wire::frame::{self, Cancelled, Counts, Frame, Hello};
+use stonegw_wire::frame::{self, Cancellation, Frame, Hello, TaskCounts};
 use stonegw_wire::http::Request;
 use stonegw_wire::msg::{
-    decode, encode, json_len, Catalog, Changes, Condition, ErrorBody, JobKind, JobPhase, JobSpec,
-    JobStatus, LeaseAnswer, LeaseRequest, Listing, Orders, Report, ReportTo, Txn, TxnAnswer, Write,
+    decode, encode, json_size_bytes, Catalog, CommandBatch, Condition, ErrorBody, Heartbeat,
+    JobKind, JobPhase, JobSpec, JobStatus, LeaseRequest, LeaseResponse, ListPage, Redirect, Txn,
+    TxnResponse, WatchResponse, Write,
 };
 
 mod answers;
@@ -38,81 +40,81 @@
 mod users;
 mod via_state;
 
-pub(crate) use answers::describe;
-use calls::Call;
-pub use can_run::can_run;
-pub(crate) use out::Out;
+pub(crate) use answers::describe_result;
+use calls::NodeCall;
+pub use can_run::check_feasibility;
+pub(crate) use out::Outbox;
 use peer::Peer;
-use pending::{Ask, Pending};
+use pending::{PendingRequest, UserRequest};
 pub use role::Role;
-use sync::Sync;
+use sync::ReplicaSync;
 
 /// One controller: its copy of the jobs, its peers, its requests and, while it leads, the leader.
 pub struct Node {
-    pub set: Settings,
-    nonce: u64,
+    pub settings: Settings,
+    incarnation: u64,
     rng: SmallRng,
     pub(crate) now: Now,
-    pub(crate) out: Out,
-    calls: HashMap<u64, Call>,
+    pub(crate) outbox: Outbox,
+    calls_in_flight: HashMap<u64, NodeCall>,
     pub replica: Replica,
-    sync: Sync,
-    watching: bool,
-    watch_at: Ms,
+    replica_sync: ReplicaSync,
+    is_watching: bool,
+    next_watch_at: Millis,
     pub role: Role,
     /// When the lease for our claim was asked for: it may run out so much sooner.
-    grant_sent: Ms,
+    lease_requested_at: Millis,
     pub leader: Option<Box<Leader>>,
     catalog: Option<Catalog>,
-    catalog_at: Ms,
-    catalog_asked: bool,
+    next_catalog_fetch_at: Millis,
+    is_fetching_catalog: bool,
     /// Requests to the state service and changes in it, our share.
-    pub(crate) reads: Bucket,
-    pub(crate) writes: Bucket,
+    pub(crate) read_budget: TokenBucket,
+    pub(crate) write_budget: TokenBucket,
     /// How large what we write may be.
-    limits: StoreLimits,
-    waiting: Vec<Pending>,
-    to_store: Vec<Pending>,
-    barrier_at: Ms,
-    barriers: usize,
-    storing: usize,
-    store_at: Ms,
-    state_ok_at: Ms,
-    state_failed_at: Option<Ms>,
+    store_limits: StoreLimits,
+    awaiting_barrier: Vec<PendingRequest>,
+    awaiting_commit: Vec<PendingRequest>,
+    next_barrier_at: Millis,
+    barriers_in_flight: usize,
+    commits_in_flight: usize,
+    next_commit_at: Millis,
+    last_store_success_at: Millis,
+    store_failing_since: Option<Millis>,
     peers: Vec<Peer>,
-    coverage: coverage::Coverage,
-    gate: gate::Gate,
-    pauses: PauseDetector,
+    cancellation_watermark: coverage::CancellationWatermark,
+    feature_gate: gate::FeatureGate,
+    pause_detector: PauseDetector,
     /// When the last pause ended; 0: there was none.
-    resumed_at: Ms,
-    hello_at: Ms,
+    resumed_at: Millis,
+    next_hello_at: Millis,
     /// Reports on their way to the leader: who waits, until when, and the report.
-    relays: HashMap<u64, (u64, Ms, Report)>,
-    next_relay: u64,
+    pending_relays: HashMap<u64, (u64, Millis, Heartbeat)>,
+    last_relay_id: u64,
     /// Counts for display, as the leader last told them.
-    counts: HashMap<String, (u32, u32)>,
+    job_counts: HashMap<String, (u32, u32)>,
     /// A lease of an earlier life or a failed claim, to be ended.
-    release: Vec<u64>,
+    leases_to_revoke: Vec<u64>,
     /// Reports to be handed on through the state service, and when each last was.
-    reports_via_state: BTreeMap<String, (Report, bool, Ms)>,
-    via_state_at: Ms,
-    via_state_slot: usize,
+    heartbeats_via_store: BTreeMap<String, (Heartbeat, bool, Millis)>,
+    next_via_store_at: Millis,
+    via_store_slot: usize,
     /// Machines answered without the leader: since when, or when last sent to try it.
-    redirected: HashMap<String, Ms>,
+    served_without_leader_since: HashMap<String, Millis>,
     /// Machines that reported here, and when last.
-    seen: HashMap<String, Ms>,
+    last_heartbeat_at: HashMap<String, Millis>,
     /// Machines that were told to try others while we heard nobody, since when.
-    let_go: HashMap<String, Ms>,
+    released: HashMap<String, Millis>,
     /// One of them came back after trying all others in vain.
-    shut_in: bool,
+    confined: bool,
     /// Those that are away to try it, since when.
-    away: HashMap<String, Ms>,
+    probing: HashMap<String, Millis>,
     /// The last that tried it came back, and when the next may go.
-    way_shut: bool,
-    try_at: Ms,
+    probe_failed: bool,
+    next_probe_at: Millis,
     /// Not to stand for election before.
-    stand_at: Ms,
-    resigned_at: Option<Ms>,
+    next_campaign_at: Millis,
+    resigned_at: Option<Millis>,
     /// A term higher than any leader key we have seen, told by a worker or peer.
     pub higher_term: u64,
 }
@@ -123,67 +125,70 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let nonce = rng.random::<u64>() >> 12;
         let peers: Vec<Peer> = set.peers.iter().map(|_| Peer::default()).collect();
-        let coverage = coverage::Coverage::new(peers.len());
-        let gate = gate::Gate::new(&set.node, &set.peers);
+        let coverage = coverage::CancellationWatermark::new(peers.len());
+        let gate = gate::FeatureGate::new(&set.node_name, &set.peers);
         let mut node = Node {
-            nonce,
+            incarnation: nonce,
             rng,
-            now: Now { ms: 0, wall_ms: 0 },
-            out: Out {
+            now: Now {
+                monotonic_ms: 0,
+                wall_ms: 0,
+            },
+            outbox: Outbox {
                 actions: vec![],
-                next_call: 0,
+                last_call_id: 0,
             },
-            calls: HashMap::new(),
+            calls_in_flight: HashMap::new(),
             replica: Replica::default(),
-            sync: Sync::Listing {
-                after: None,
-                first: None,
+            replica_sync: ReplicaSync::Listing {
+                start_after: None,
+                first_page_revision: None,
                 retry_at: 0,
-                asked: false,
+                request_in_flight: false,
             },
-            watching: false,
-            watch_at: 0,
+            is_watching: false,
+            next_watch_at: 0,
             role: Role::Follower,
-            grant_sent: 0,
+            lease_requested_at: 0,
             leader: None,
             catalog: None,
-            catalog_at: 0,
-            catalog_asked: false,
-            reads: Bucket::new(1.0, 1.0),
-            writes: Bucket::new(1.0, 1.0),
-            limits: StoreLimits::new(&set),
-            waiting: vec![],
-            to_store: vec![],
-            barrier_at: 0,
-            barriers: 0,
-            storing: 0,
-            store_at: 0,
-            state_ok_at: 0,
-            state_failed_at: None,
+            next_catalog_fetch_at: 0,
+            is_fetching_catalog: false,
+            read_budget: TokenBucket::new(1.0, 1.0),
+            write_budget: TokenBucket::new(1.0, 1.0),
+            store_limits: StoreLimits::new(&set),
+            awaiting_barrier: vec![],
+            awaiting_commit: vec![],
+            next_barrier_at: 0,
+            barriers_in_flight: 0,
+            commits_in_flight: 0,
+            next_commit_at: 0,
+            last_store_success_at: 0,
+            store_failing_since: None,
             peers,
-            coverage,
-            gate,
-            pauses: PauseDetector::default(),
+            cancellation_watermark: coverage,
+            feature_gate: gate,
+            pause_detector: PauseDetector::default(),
             resumed_at: 0,
-            hello_at: 0,
-            relays: HashMap::new(),
-            next_relay: 0,
-            counts: HashMap::new(),
-            release: vec![],
-            reports_via_state: BTreeMap::new(),
-            via_state_at: 0,
-            via_state_slot: 0,
-            redirected: HashMap::new(),
-            seen: HashMap::new(),
-            let_go: HashMap::new(),
-            shut_in: false,
-            away: HashMap::new(),
-            way_shut: false,
-            try_at: 0,
-            stand_at: 0,
+            next_hello_at: 0,
+            pending_relays: HashMap::new(),
+            last_relay_id: 0,
+            job_counts: HashMap::new(),
+            leases_to_revoke: vec![],
+            heartbeats_via_store: BTreeMap::new(),
+            next_via_store_at: 0,
+            via_store_slot: 0,
+            served_without_leader_since: HashMap::new(),
+            last_heartbeat_at: HashMap::new(),
+            released: HashMap::new(),
+            confined: false,
+            probing: HashMap::new(),
+            probe_failed: false,
+            next_probe_at: 0,
+            next_campaign_at: 0,
             resigned_at: None,
             higher_term: 0,
-            set,
+            settings: set,
         };
         node.share_budgets();
         node
@@ -193,115 +198,122 @@
     /// at once for all of it.
     pub fn handle(&mut self, now: Now, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         self.now = now;
-        if let Some(pause) = self.pauses.turn(now.ms) {
+        if let Some(pause) = self.pause_detector.record_turn(now.monotonic_ms) {
             self.resume(pause);
         }
         for event in events {
-            self.take(event);
+            self.handle_event(event);
         }
         self.advance();
-        std::mem::take(&mut self.out.actions)
+        std::mem::take(&mut self.outbox.actions)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Start => {
-                self.state_ok_at = now.ms;
+                self.last_store_success_at = now.monotonic_ms;
             }
             Event::Tick => {}
-            Event::Request { id, request } => self.request(id, request),
-            Event::CallDone { call, result } => self.call_done(call, result),
-            Event::Frame { from, frame } => self.frame(from, frame),
-            Event::LinkUp(Link::Out(i)) => {
-                self.peers[i].up = true;
-                self.peers[i].heard = now.ms;
-                self.peers[i].counted = false;
-                self.ask_peer(i);
+            Event::Request {
+                request_id: id,
+                request,
+            } => self.handle_request(id, request),
+            Event::CallDone {
+                call_id: call,
+                result,
+            } => self.handle_call_result(call, result),
+            Event::Frame { from, frame } => self.handle_frame(from, frame),
+            Event::LinkUp(Link::Outbound(i)) => {
+                self.peers[i].is_connected = true;
+                self.peers[i].last_heard_at = now.monotonic_ms;
+                self.peers[i].has_all_counts = false;
+                self.send_hello_request(i);
             }
-            Event::LinkDown(Link::Out(i)) => self.peers[i].up = false,
-            Event::LinkUp(Link::In(_)) | Event::LinkDown(Link::In(_)) => {}
+            Event::LinkDown(Link::Outbound(i)) => self.peers[i].is_connected = false,
+            Event::LinkUp(Link::Inbound(_)) | Event::LinkDown(Link::Inbound(_)) => {}
         }
     }
 
     // ---- What goes on by itself ---------------------------------------------------------
 
     fn advance(&mut self) {
-        let now = self.now.ms;
-        self.advance_sync();
+        let now = self.now.monotonic_ms;
+        self.advance_replica_sync();
         // Before the users' requests, which would leave a small budget nothing for it.
-        self.advance_gate();
+        self.advance_feature_gate();
         self.advance_role();
-        self.advance_front();
-        self.advance_via_state();
-        if self.catalog.is_none() && !self.catalog_asked && now >= self.catalog_at {
-            self.catalog_asked = true;
-            let call = self.out.call(
+        self.advance_user_requests();
+        self.advance_via_store();
+        if self.catalog.is_none() && !self.is_fetching_catalog && now >= self.next_catalog_fetch_at
+        {
+            self.is_fetching_catalog = true;
+            let call = self.outbox.start_call(
                 Target::Cloud,
                 "GET",
                 "/catalog".into(),
                 vec![],
                 k::CLOUD_TIMEOUT_MS,
             );
-            self.calls.insert(call, Call::Catalog);
+            self.calls_in_flight.insert(call, NodeCall::FetchCatalog);
         }
-        if now >= self.hello_at {
-            self.hello_at = now + k::PEER_PING_MS;
-            let old = (self.set.lease_s * 2e3) as u64;
-            self.seen.retain(|_, at| now < *at + old);
+        if now >= self.next_hello_at {
+            self.next_hello_at = now + k::PEER_PING_INTERVAL_MS;
+            let old = (self.settings.worker_lease_s * 2e3) as u64;
+            self.last_heartbeat_at.retain(|_, at| now < *at + old);
             for i in 0..self.peers.len() {
-                if self.peers[i].up {
-                    self.ask_peer(i);
+                if self.peers[i].is_connected {
+                    self.send_hello_request(i);
                 }
             }
-            self.send_counts();
+            self.send_job_counts();
         }
         let late: Vec<u64> = self
-            .relays
+            .pending_relays
             .iter()
             .filter(|(_, (_, until, _))| now >= *until)
             .map(|(r, _)| *r)
             .collect();
         for r in late {
-            if let Some((id, _, report)) = self.relays.remove(&r) {
-                self.unrelayed(id, report);
+            if let Some((id, _, report)) = self.pending_relays.remove(&r) {
+                self.handle_relay_timeout(id, report);
             }
         }
-        self.run_leader(|leader, ctx| leader.advance(ctx));
+        self.with_leader(|leader, ctx| leader.advance(ctx));
         if self.leader.is_none() {
             // Only a leader has use for them.
-            self.replica.changed.clear();
-            self.replica.reports_via_state.clear();
+            self.replica.changed_jobs.clear();
+            self.replica.relayed_heartbeats.clear();
         }
     }
 
     /// Lets the leader act, if there is one, on its own calls and our budgets.
-    fn run_leader(&mut self, f: impl FnOnce(&mut Leader, &mut crate::leader::Ctx)) {
+    fn with_leader(&mut self, f: impl FnOnce(&mut Leader, &mut crate::leader::LeaderContext)) {
         let Some(mut leader) = self.leader.take() else {
             return;
         };
         let mut calls = vec![];
         let may_resign = !self.peers.is_empty()
-            && !self.peer_heard()
+            && !self.is_any_peer_reachable()
             && self
                 .resigned_at
-                .is_none_or(|at| self.now.ms > at + k::RESIGN_AGAIN_MS);
-        let mut ctx = crate::leader::Ctx {
+                .is_none_or(|at| self.now.monotonic_ms > at + k::RESIGNATION_INTERVAL_MS);
+        let mut ctx = crate::leader::LeaderContext {
             may_resign,
-            covered: self.covered(),
-            proven: self.proven(),
+            watermark_current: self.watermark_current(),
+            leadership_confirmed: self.has_synced_since_pause(),
             now: self.now,
-            set: &self.set,
+            settings: &self.settings,
             replica: &mut self.replica,
-            reads: &mut self.reads,
-            writes: &mut self.writes,
-            limits: &mut self.limits,
-            out: &mut self.out,
+            read_budget: &mut self.read_budget,
+            write_budget: &mut self.write_budget,
+            store_limits: &mut self.store_limits,
+            outbox: &mut self.outbox,
             calls: &mut calls,
         };
         f(&mut leader, &mut ctx);
         for (id, call) in calls {
-            self.calls.insert(id, Call::Leader(call));
+            self.calls_in_flight.insert(id, NodeCall::Leader(call));
         }
         self.leader = Some(leader);
     }
--- a/crates/control/src/node/out.rs
+++ b/crates/control/src/node/out.rs
@@ -4,14 +4,14 @@
 use stonegw_wire::msg::{encode, ErrorBody};
 
 /// The actions of one turn, and the number of the last call.
-pub(crate) struct Out {
+pub(crate) struct Outbox {
     pub actions: Vec<Action>,
-    pub next_call: u64,
+    pub last_call_id: u64,
 }
 
-impl Out {
+impl Outbox {
     /// Starts a call and returns its number.
-    pub fn call(
+    pub fn start_call(
         &mut self,
         target: Target,
         method: &'static str,
@@ -19,22 +19,22 @@
         body: Vec<u8>,
         timeout_ms: u64,
     ) -> u64 {
-        self.next_call += 1;
+        self.last_call_id += 1;
         self.actions.push(Action::Call {
-            call: self.next_call,
+            call_id: self.last_call_id,
             target,
             method,
             path,
             body,
             timeout_ms,
         });
-        self.next_call
+        self.last_call_id
     }
 
     /// Answers a request with a body of JSON.
     pub fn reply<T: Serialize>(&mut self, id: u64, status: u16, retry: Option<u32>, body: &T) {
         self.actions.push(Action::Reply {
-            id,
+            request_id: id,
             status,
             retry_after_s: retry,
             body: encode(body),
@@ -42,7 +42,7 @@
     }
 
     /// Answers a request with an error and its reason.
-    pub(super) fn error(&mut self, id: u64, status: u16, retry: Option<u32>, why: &str) {
+    pub(super) fn reply_error(&mut self, id: u64, status: u16, retry: Option<u32>, why: &str) {
         self.reply(id, status, retry, &ErrorBody { error: why.into() });
     }
 }
--- a/crates/control/src/node/peer.rs
+++ b/crates/control/src/node/peer.rs
@@ -1,20 +1,20 @@
 //! What a node knows of each other controller.
-use crate::api::Ms;
+use crate::api::Millis;
 use stonegw_constants as k;
 
 /// Another controller, as its link shows it.
 #[derive(Default)]
 pub(super) struct Peer {
-    pub(super) up: bool,
-    pub(super) heard: Ms,
-    pub(super) state_ok: bool,
+    pub(super) is_connected: bool,
+    pub(super) last_heard_at: Millis,
+    pub(super) is_store_reachable: bool,
     /// Has been told the counts of all jobs over this link.
-    pub(super) counted: bool,
+    pub(super) has_all_counts: bool,
 }
 
 impl Peer {
     /// Its link is up and it was heard lately.
-    pub(super) fn heard(&self, now: Ms) -> bool {
-        self.up && now < self.heard + k::PEER_SILENT_MS
+    pub(super) fn is_reachable(&self, now: Millis) -> bool {
+        self.is_connected && now < self.last_heard_at + k::PEER_TIMEOUT_MS
     }
 }
--- a/crates/control/src/node/pending.rs
+++ b/crates/control/src/node/pending.rs
@@ -1,19 +1,19 @@
 //! Users' requests that wait for the state service.
-use crate::api::Ms;
+use crate::api::Millis;
 use stonegw_wire::msg::JobSpec;
 
 /// What a user asks for.
-pub(super) enum Ask {
+pub(super) enum UserRequest {
     Poll(String),
     Submit(Box<JobSpec>),
     Cancel(String),
 }
 
 /// A user's request that waits for the state service.
-pub(super) struct Pending {
+pub(super) struct PendingRequest {
     pub(super) id: u64,
-    pub(super) ask: Ask,
-    pub(super) until: Ms,
+    pub(super) request: UserRequest,
+    pub(super) expires_at: Millis,
     /// Times it went through a store; bounds a quarrel over one key.
-    pub(super) tries: u8,
+    pub(super) commit_attempts: u8,
 }
--- a/crates/control/src/node/relay.rs
+++ b/crates/control/src/node/relay.rs
@@ -2,324 +2,358 @@
 use super::*;
 
 impl Node {
-    pub(super) fn beat(&mut self, id: u64, body: Vec<u8>) {
-        let report: Report = match decode(&body) {
+    pub(super) fn handle_heartbeat(&mut self, id: u64, body: Vec<u8>) {
+        let report: Heartbeat = match decode(&body) {
             Ok(r) => r,
-            Err(why) => return self.out.error(id, 400, None, &why),
+            Err(why) => return self.outbox.reply_error(id, 400, None, &why),
         };
-        if self.alone() {
-            return self.lone_beat(id, report);
+        if self.is_isolated() {
+            return self.handle_heartbeat_isolated(id, report);
         }
-        self.let_go.clear();
-        self.shut_in = false;
-        match self.seen.get_mut(&report.machine) {
-            Some(at) => *at = self.now.ms,
-            None => drop(self.seen.insert(report.machine.clone(), self.now.ms)),
+        self.released.clear();
+        self.confined = false;
+        match self.last_heartbeat_at.get_mut(&report.machine_id) {
+            Some(at) => *at = self.now.monotonic_ms,
+            None => drop(
+                self.last_heartbeat_at
+                    .insert(report.machine_id.clone(), self.now.monotonic_ms),
+            ),
         }
         if self.leader.is_some() {
-            return match self.lead_beat(report) {
-                Some(orders) => self.out.reply(id, 200, None, &orders),
-                None => self
-                    .out
-                    .error(id, 503, Some(k::RETRY_STATE_S), "no lease to give"),
+            return match self.handle_heartbeat_as_leader(report) {
+                Some(orders) => self.outbox.reply(id, 200, None, &orders),
+                None => self.outbox.reply_error(
+                    id,
+                    503,
+                    Some(k::RETRY_AFTER_STORE_FAILURE_S),
+                    "no lease to give",
+                ),
             };
         }
-        self.higher_term = self.higher_term.max(report.token);
+        self.higher_term = self.higher_term.max(report.fencing_token);
         let Some((l, _)) = &self.replica.leader else {
-            return self.out.error(id, 503, Some(k::RETRY_STATE_S), "no leader");
+            return self.outbox.reply_error(
+                id,
+                503,
+                Some(k::RETRY_AFTER_STORE_FAILURE_S),
+                "no leader",
+            );
         };
         let node = l.node.clone();
-        let link = self.set.peers.iter().position(|p| *p == node);
+        let link = self.settings.peers.iter().position(|p| *p == node);
         match link {
-            Some(i) if self.peers[i].heard(self.now.ms) => {
-                self.next_relay += 1;
-                let request = self.next_relay;
-                let until = self.now.ms + k::RELAY_TIMEOUT_MS;
-                self.relays.insert(request, (id, until, report));
-                self.out.actions.push(Action::Send {
-                    to: Link::Out(i),
-                    frame: Frame::Report { request, body },
+            Some(i) if self.peers[i].is_reachable(self.now.monotonic_ms) => {
+                self.last_relay_id += 1;
+                let request = self.last_relay_id;
+                let until = self.now.monotonic_ms + k::HEARTBEAT_RELAY_TIMEOUT_MS;
+                self.pending_relays.insert(request, (id, until, report));
+                self.outbox.actions.push(Action::SendFrame {
+                    to: Link::Outbound(i),
+                    frame: Frame::Heartbeat {
+                        request_id: request,
+                        body,
+                    },
                 });
             }
-            Some(_) => self.beat_via_state(id, report, node),
-            None => self.out.reply(id, 421, None, &ReportTo { node: None }),
+            Some(_) => self.handle_heartbeat_via_store(id, report, node),
+            None => self
+                .outbox
+                .reply(id, 421, None, &Redirect { target_node: None }),
         }
     }
 
     /// The leader did not answer a relayed report in time: it may have been cut off from us just
     /// now, and the worker, sent away, would look for others in vain.
-    pub(super) fn unrelayed(&mut self, id: u64, report: Report) {
+    pub(super) fn handle_relay_timeout(&mut self, id: u64, report: Heartbeat) {
         match self.replica.leader.as_ref().map(|(l, _)| l.node.clone()) {
-            Some(leader) if !self.alone() && self.leader.is_none() => {
-                self.beat_via_state(id, report, leader);
+            Some(leader) if !self.is_isolated() && self.leader.is_none() => {
+                self.handle_heartbeat_via_store(id, report, leader);
             }
-            _ => self.cut_off(id),
+            _ => self.reply_partitioned(id),
         }
     }
 
     /// How long our coverage lies back.
-    pub(super) fn uncovered_ms(&self) -> Ms {
-        let upto = self.coverage.upto(self.now.ms);
-        upto.map_or(Ms::MAX, |at| self.now.ms.saturating_sub(at))
+    pub(super) fn watermark_lag_ms(&self) -> Millis {
+        let upto = self.cancellation_watermark.watermark(self.now.monotonic_ms);
+        upto.map_or(Millis::MAX, |at| self.now.monotonic_ms.saturating_sub(at))
     }
 
     /// Whether a lease may be renewed: what was cancelled past our coverage still ends in time
     /// if this renewal is the last.
-    pub(super) fn covered(&self) -> bool {
-        let spare_s = (self.set.cancel_s - self.set.lease_s).max(0.0);
-        self.proven() && self.uncovered_ms() <= (spare_s * k::UNCOVERED_PART * 1e3) as Ms
+    pub(super) fn watermark_current(&self) -> bool {
+        let spare_s =
+            (self.settings.cancellation_deadline_s - self.settings.worker_lease_s).max(0.0);
+        self.has_synced_since_pause()
+            && self.watermark_lag_ms() <= (spare_s * k::WATERMARK_LAG_FRACTION * 1e3) as Millis
     }
 
     /// Hands cancellations that are new to us to all other nodes that can be reached.
-    pub(super) fn tell_cancelled(&mut self) {
+    pub(super) fn announce_cancellations(&mut self) {
         let unsent = std::mem::take(&mut self.replica.unsent_cancellations);
         for i in 0..self.peers.len() {
-            if self.peers[i].up {
-                self.send_cancelled(Link::Out(i), unsent.iter());
+            if self.peers[i].is_connected {
+                self.send_cancellations(Link::Outbound(i), unsent.iter());
             }
         }
     }
 
-    fn send_cancelled<'a>(&mut self, to: Link, list: impl Iterator<Item = &'a (u64, String)>) {
-        let list: Vec<Cancelled> = list
-            .map(|(stamp, job)| Cancelled {
-                job: frame::name(job),
-                stamp: (*stamp).into(),
+    fn send_cancellations<'a>(&mut self, to: Link, list: impl Iterator<Item = &'a (u64, String)>) {
+        let list: Vec<Cancellation> = list
+            .map(|(stamp, job)| Cancellation {
+                job_id: frame::to_padded_text(job),
+                revision: (*stamp).into(),
             })
             .collect();
-        for part in list.chunks(frame::MAX_FRAME / size_of::<Cancelled>()) {
-            self.out.actions.push(Action::Send {
+        for part in list.chunks(frame::MAX_FRAME_BODY_BYTES / size_of::<Cancellation>()) {
+            self.outbox.actions.push(Action::SendFrame {
                 to,
-                frame: Frame::Cancelled(part.to_vec()),
+                frame: Frame::Cancellations(part.to_vec()),
             });
         }
     }
 
-    pub(super) fn cut_off(&mut self, id: u64) {
+    pub(super) fn reply_partitioned(&mut self, id: u64) {
         let why = "cut off from the leader";
-        self.out.error(id, 503, Some(k::RETRY_STATE_S), why);
+        self.outbox
+            .reply_error(id, 503, Some(k::RETRY_AFTER_STORE_FAILURE_S), why);
     }
 
     /// A report while we hear neither the state service nor any other node. Its worker is let go,
     /// for others most likely hear it. Once one comes back after trying them all in vain, or one
     /// comes that was with another node, the machines here are cut off together with us: their
     /// leases are kept for as long as cancels told elsewhere allow.
-    fn lone_beat(&mut self, id: u64, report: Report) {
-        let now = self.now.ms;
-        let tries = self.set.peers.len() as u64 * k::WORKER_TRY_MS;
-        let back = self.let_go.get(&report.machine);
-        let new = back.is_none() && !self.seen.contains_key(&report.machine);
-        self.shut_in |= new || back.is_some_and(|at| now + k::WORKER_TRY_MS / 2 > at + tries);
+    fn handle_heartbeat_isolated(&mut self, id: u64, report: Heartbeat) {
+        let now = self.now.monotonic_ms;
+        let tries = self.settings.peers.len() as u64 * k::WORKER_ATTEMPT_TIMEOUT_MS;
+        let back = self.released.get(&report.machine_id);
+        let new = back.is_none() && !self.last_heartbeat_at.contains_key(&report.machine_id);
+        self.confined |=
+            new || back.is_some_and(|at| now + k::WORKER_ATTEMPT_TIMEOUT_MS / 2 > at + tries);
         let term = match &self.leader {
             Some(l) => l.term,
             None => self.replica.term().unwrap_or(0),
         };
-        self.higher_term = self.higher_term.max(report.token);
-        if self.shut_in && self.covered() && term > 0 && self.higher_term <= term {
-            return self.keep_lease(id, &report, term);
+        self.higher_term = self.higher_term.max(report.fencing_token);
+        if self.confined && self.watermark_current() && term > 0 && self.higher_term <= term {
+            return self.renew_lease_without_leader(id, &report, term);
         }
-        self.let_go.entry(report.machine).or_insert(now);
-        self.cut_off(id);
+        self.released.entry(report.machine_id).or_insert(now);
+        self.reply_partitioned(id);
     }
 
     /// Answers without the leader: the token renews the lease, what is cancelled is ended, and
     /// nothing is started.
-    pub(super) fn keep_lease(&mut self, id: u64, report: &Report, term: u64) {
-        let orders = Orders {
-            token: term,
-            session: None,
-            commands: self.replica.stops(report),
+    pub(super) fn renew_lease_without_leader(&mut self, id: u64, report: &Heartbeat, term: u64) {
+        let orders = CommandBatch {
+            fencing_token: term,
+            incarnation: None,
+            commands: self.replica.stop_commands(report),
         };
-        self.out.reply(id, 200, None, &orders);
+        self.outbox.reply(id, 200, None, &orders);
     }
 
     /// Whether a machine that reports here is to try the leader itself. The lease comes first: only
     /// one that has been here for a while is sent, so that its lease lasts while it tries in vain,
     /// and only a part of them leave together. When one is back the way is shut, and later only
     /// a few go and look; when one stays away the way is open, and the others follow.
-    pub(super) fn try_leader(&mut self, machine: &str) -> bool {
-        let now = self.now.ms;
-        self.redirected
-            .retain(|_, at| now < *at + 2 * k::FAR_REDIRECT_MS);
-        if self.away.remove(machine).is_some() {
-            self.way_shut = true;
-            self.try_at = now + k::FAR_REDIRECT_MS;
+    pub(super) fn try_start_leader_probe(&mut self, machine: &str) -> bool {
+        let now = self.now.monotonic_ms;
+        self.served_without_leader_since
+            .retain(|_, at| now < *at + 2 * k::LEADER_PROBE_DELAY_MS);
+        if self.probing.remove(machine).is_some() {
+            self.probe_failed = true;
+            self.next_probe_at = now + k::LEADER_PROBE_DELAY_MS;
         }
-        let tries = self.set.peers.len() as u64;
-        let arrived = |at: &Ms| now >= at + tries * k::WORKER_TRY_MS + k::FAR_AWAY_MS;
-        if self.away.values().any(arrived) {
-            self.way_shut = false;
-            self.away.retain(|_, at| !arrived(at));
+        let tries = self.settings.peers.len() as u64;
+        let arrived = |at: &Millis| {
+            now >= at + tries * k::WORKER_ATTEMPT_TIMEOUT_MS + k::LEADER_PROBE_MARGIN_MS
+        };
+        if self.probing.values().any(arrived) {
+            self.probe_failed = false;
+            self.probing.retain(|_, at| !arrived(at));
         }
-        let part = if self.way_shut {
+        let part = if self.probe_failed {
             0
         } else {
-            self.redirected.len() / k::FAR_TRY_PART
+            self.served_without_leader_since.len() / k::LEADER_PROBE_BATCH_DIVISOR
         };
-        let since = self.redirected.entry(machine.to_owned()).or_insert(now);
-        let stayed = now >= *since + k::FAR_REDIRECT_MS;
-        let wave = |at: &&Ms| now < **at + k::FAR_WAVE_MS;
-        let wave = self.away.values().filter(wave).count();
-        if !stayed || now < self.try_at || wave >= part.max(k::FAR_SCOUTS) {
+        let since = self
+            .served_without_leader_since
+            .entry(machine.to_owned())
+            .or_insert(now);
+        let stayed = now >= *since + k::LEADER_PROBE_DELAY_MS;
+        let wave = |at: &&Millis| now < **at + k::LEADER_PROBE_BATCH_INTERVAL_MS;
+        let wave = self.probing.values().filter(wave).count();
+        if !stayed || now < self.next_probe_at || wave >= part.max(k::MIN_LEADER_PROBES) {
             return false;
         }
         *since = now;
-        self.away.insert(machine.to_owned(), now);
+        self.probing.insert(machine.to_owned(), now);
         true
     }
 
     /// Neither the state service nor any other node is heard: we are most likely cut off, and
     /// the others go on without us. A higher term and cancels may pass us by, so workers must
     /// not be held here: told to try others, they find them well within their lease.
-    pub(super) fn alone(&self) -> bool {
-        !self.peers.is_empty() && !self.peer_heard() && self.now.ms > self.state_ok_at + k::LONE_MS
+    pub(super) fn is_isolated(&self) -> bool {
+        !self.peers.is_empty()
+            && !self.is_any_peer_reachable()
+            && self.now.monotonic_ms > self.last_store_success_at + k::ISOLATION_TIMEOUT_MS
     }
 
-    pub(super) fn peer_heard(&self) -> bool {
-        let now = self.now.ms;
-        self.peers.iter().any(|p| p.heard(now))
+    pub(super) fn is_any_peer_reachable(&self) -> bool {
+        let now = self.now.monotonic_ms;
+        self.peers.iter().any(|p| p.is_reachable(now))
     }
 
     /// A report for the leader inside. `None`: it does not lead any more.
-    pub(super) fn lead_beat(&mut self, report: Report) -> Option<Orders> {
-        self.higher_term = self.higher_term.max(report.token);
+    pub(super) fn handle_heartbeat_as_leader(&mut self, report: Heartbeat) -> Option<CommandBatch> {
+        self.higher_term = self.higher_term.max(report.fencing_token);
         let term = self.leader.as_ref().map(|l| l.term)?;
-        if report.token > term {
+        if report.fencing_token > term {
             self.advance_role();
             return None;
         }
         let mut orders = None;
-        self.run_leader(|leader, ctx| orders = leader.beat(ctx, report));
+        self.with_leader(|leader, ctx| orders = leader.handle_heartbeat(ctx, report));
         orders
     }
 
     /// Asks another node. One that has read nothing yet needs no answer to count, nor all
     /// cancellations there ever were each second.
-    pub(super) fn ask_peer(&mut self, peer: usize) {
+    pub(super) fn send_hello_request(&mut self, peer: usize) {
         let (asked, revision) = match self.replica.revision {
             0 => (0, u64::MAX),
-            revision => (self.now.ms.max(1), revision),
+            revision => (self.now.monotonic_ms.max(1), revision),
         };
-        self.hello(Link::Out(peer), asked, revision);
+        self.send_hello(Link::Outbound(peer), asked, revision);
     }
 
     /// `asked`: our time when we ask, the other's when we answer.
-    fn hello(&mut self, to: Link, asked: Ms, revision: u64) {
+    fn send_hello(&mut self, to: Link, asked: Millis, revision: u64) {
         let hello = Hello {
             term: self.replica.highest_term.max(self.higher_term).into(),
-            nonce: self.nonce.into(),
-            asked: asked.into(),
-            revision: revision.into(),
-            leads: u8::from(self.role == Role::Leading),
-            state_ok: u8::from(self.sync == Sync::Live && self.state_failed_at.is_none()),
-            name: frame::name(&self.set.node),
+            process_nonce: self.incarnation.into(),
+            ping_sent_at: asked.into(),
+            jobs_revision: revision.into(),
+            is_leader: u8::from(self.role == Role::Leader),
+            is_store_reachable: u8::from(
+                self.replica_sync == ReplicaSync::Live && self.store_failing_since.is_none(),
+            ),
+            node_name: frame::to_padded_text(&self.settings.node_name),
         };
-        self.out.actions.push(Action::Send {
+        self.outbox.actions.push(Action::SendFrame {
             to,
             frame: Frame::Hello(hello),
         });
     }
 
     /// Tells the others what changed, and all to those that know nothing yet.
-    pub(super) fn send_counts(&mut self) {
+    pub(super) fn send_job_counts(&mut self) {
         let Some(l) = &mut self.leader else { return };
         let changed = l.changed_counts();
         let mut all = None;
         for (i, p) in self.peers.iter_mut().enumerate() {
-            if !p.up {
+            if !p.is_connected {
                 continue;
             }
-            let list = if p.counted {
+            let list = if p.has_all_counts {
                 &changed
             } else {
-                p.counted = true;
+                p.has_all_counts = true;
                 all.get_or_insert_with(|| l.all_counts())
             };
-            for part in list.chunks(frame::MAX_FRAME / size_of::<Counts>()) {
-                self.out.actions.push(Action::Send {
-                    to: Link::Out(i),
-                    frame: Frame::Counts(part.to_vec()),
+            for part in list.chunks(frame::MAX_FRAME_BODY_BYTES / size_of::<TaskCounts>()) {
+                self.outbox.actions.push(Action::SendFrame {
+                    to: Link::Outbound(i),
+                    frame: Frame::TaskCounts(part.to_vec()),
                 });
             }
         }
     }
 
-    pub(super) fn frame(&mut self, from: Link, frame: Frame) {
+    pub(super) fn handle_frame(&mut self, from: Link, frame: Frame) {
         match frame {
             Frame::Hello(h) => {
                 self.higher_term = self.higher_term.max(h.term.get());
-                let name = frame::text(&h.name).to_owned();
+                let name = frame::from_padded_text(&h.node_name).to_owned();
                 match from {
-                    Link::Out(i) => {
-                        let now = self.now.ms;
-                        self.peers[i].heard = now;
-                        self.peers[i].state_ok = h.state_ok != 0;
-                        let (life, asked) = (h.nonce.get(), h.asked.get());
+                    Link::Outbound(i) => {
+                        let now = self.now.monotonic_ms;
+                        self.peers[i].last_heard_at = now;
+                        self.peers[i].is_store_reachable = h.is_store_reachable != 0;
+                        let (life, asked) = (h.process_nonce.get(), h.ping_sent_at.get());
                         if asked > 0 {
-                            self.coverage.attested(i, life, asked, now);
+                            self.cancellation_watermark
+                                .record_peer_answer(i, life, asked, now);
                         }
                     }
                     // Every hello is answered, so that both ends of a link hear the other.
-                    Link::In(_) => {
-                        if self.set.peers.contains(&name) {
+                    Link::Inbound(_) => {
+                        if self.settings.peers.contains(&name) {
                             // What it lacks goes before the answer, over the same link.
-                            let since = h.revision.get();
+                            let since = h.jobs_revision.get();
                             let lacks: Vec<_> =
-                                self.replica.cancelled_since(since).cloned().collect();
-                            self.send_cancelled(from, lacks.iter());
-                            self.hello(from, h.asked.get(), self.replica.revision);
+                                self.replica.cancellations_since(since).cloned().collect();
+                            self.send_cancellations(from, lacks.iter());
+                            self.send_hello(from, h.ping_sent_at.get(), self.replica.revision);
                         } else {
                             log::warn!("a stranger says hello: {name:?}");
                         }
                     }
                 }
             }
-            Frame::Report { request, body } => {
-                let (status, body) = match decode::<Report>(&body) {
-                    Ok(report) => match self.lead_beat(report) {
+            Frame::Heartbeat {
+                request_id: request,
+                body,
+            } => {
+                let (status, body) = match decode::<Heartbeat>(&body) {
+                    Ok(report) => match self.handle_heartbeat_as_leader(report) {
                         Some(orders) => (200, encode(&orders)),
                         None => (503, vec![]),
                     },
                     Err(why) => (400, encode(&ErrorBody { error: why })),
                 };
-                self.out.actions.push(Action::Send {
+                self.outbox.actions.push(Action::SendFrame {
                     to: from,
-                    frame: Frame::Answer {
-                        request,
+                    frame: Frame::HeartbeatReply {
+                        request_id: request,
                         status,
                         body,
                     },
                 });
             }
-            Frame::Answer {
-                request,
+            Frame::HeartbeatReply {
+                request_id: request,
                 status,
                 body,
             } => {
-                if let Some((id, ..)) = self.relays.remove(&request) {
-                    self.out.actions.push(Action::Reply {
-                        id,
+                if let Some((id, ..)) = self.pending_relays.remove(&request) {
+                    self.outbox.actions.push(Action::Reply {
+                        request_id: id,
                         status,
-                        retry_after_s: (status == 503).then_some(k::RETRY_STATE_S),
+                        retry_after_s: (status == 503).then_some(k::RETRY_AFTER_STORE_FAILURE_S),
                         body,
                     });
                 }
             }
-            Frame::Cancelled(list) => {
+            Frame::Cancellations(list) => {
                 for c in list {
-                    let job = frame::text(&c.job);
-                    self.replica.told_cancelled(job, c.stamp.get());
+                    let job = frame::from_padded_text(&c.job_id);
+                    self.replica
+                        .apply_announced_cancellation(job, c.revision.get());
                 }
-                self.tell_cancelled();
+                self.announce_cancellations();
             }
-            Frame::Counts(list) => {
+            Frame::TaskCounts(list) => {
                 for c in list {
-                    let job = frame::text(&c.job).to_owned();
+                    let job = frame::from_padded_text(&c.job_id).to_owned();
                     // What has ended is told from its record.
                     if self.replica.end_of(&job).is_some() {
-                        self.counts.remove(&job);
+                        self.job_counts.remove(&job);
                     } else {
-                        self.counts.insert(job, (c.done.get(), c.running.get()));
+                        self.job_counts.insert(job, (c.done.get(), c.running.get()));
                     }
                 }
             }
--- a/crates/control/src/node/relay_tests.rs
+++ b/crates/control/src/node/relay_tests.rs
@@ -2,80 +2,86 @@
 
 pub(in crate::node) fn settings(write_rps: f64, txn_ops: usize) -> Settings {
     Settings {
-        node: "node-0".into(),
+        node_name: "node-0".into(),
         zone: "a".into(),
         peers: vec![],
         zones: vec!["a".into()],
         teams: vec![],
-        promises: vec![],
-        report_s: 4.0,
-        lease_s: 24.0,
-        cancel_s: 54.0,
-        gang_wait_s: 35.0,
-        gang_peer_s: 8.0,
-        state_rps: 100.0,
-        state_write_rps: write_rps,
-        value_bytes: 8 * 1024,
-        txn_ops,
-        cloud_rps: 1.0,
-        list_lag_s: 1.0,
+        class_slos: vec![],
+        heartbeat_interval_s: 4.0,
+        worker_lease_s: 24.0,
+        cancellation_deadline_s: 54.0,
+        gang_start_timeout_s: 35.0,
+        gang_loss_detection_s: 8.0,
+        store_requests_per_s: 100.0,
+        store_writes_per_s: write_rps,
+        max_value_bytes: 8 * 1024,
+        max_transaction_writes: txn_ops,
+        cloud_requests_per_s: 1.0,
+        cloud_listing_lag_s: 1.0,
         max_sockets: 1_000,
         tuning: Default::default(),
     }
 }
 
-fn report(machine: &str) -> Report {
-    Report {
-        machine: machine.into(),
+fn heartbeat(machine: &str) -> Heartbeat {
+    Heartbeat {
+        machine_id: machine.into(),
         addr: "10.0.0.1:9000".into(),
         machine_type: "small".into(),
         zone: "a".into(),
-        spot: false,
-        session: 1,
-        seq: 1,
-        token: 1,
-        notice_s: None,
+        is_spot: false,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: 1,
+        eviction_in_s: None,
         tasks: vec![],
     }
 }
 
 /// The transaction that is sent in this turn, if any, and the call for it.
-fn sent(node: &mut Node, ms: Ms) -> Option<(Txn<Value>, Call)> {
-    node.now.ms = ms;
-    node.advance_via_state();
-    let actions = std::mem::take(&mut node.out.actions);
-    let Action::Call { call, body, .. } = actions.into_iter().next()? else {
+fn take_sent_transaction(node: &mut Node, ms: Millis) -> Option<(Txn<StoredRecord>, NodeCall)> {
+    node.now.monotonic_ms = ms;
+    node.advance_via_store();
+    let actions = std::mem::take(&mut node.outbox.actions);
+    let Action::Call {
+        call_id: call,
+        body,
+        ..
+    } = actions.into_iter().next()?
+    else {
         return None;
     };
-    let call = node.calls.remove(&call)?;
+    let call = node.calls_in_flight.remove(&call)?;
     Some((decode(&body).expect("a transaction"), call))
 }
 
 /// Reports that a lowered limit refuses were passed over until something else changed on their machines.
 #[test]
-fn refused_far_reports_are_handed_on_in_smaller_parts() {
+fn rejected_relayed_heartbeats_are_resent_in_smaller_batches() {
     let mut node = Node::new(settings(60.0, 8), 1);
-    node.sync = Sync::Live;
+    node.replica_sync = ReplicaSync::Live;
     for n in 0..60 {
         let id = format!("host-{n}");
-        node.reports_via_state
-            .insert(id.clone(), (report(&id), true, 0));
-        node.redirected.insert(id, 0);
+        node.heartbeats_via_store
+            .insert(id.clone(), (heartbeat(&id), true, 0));
+        node.served_without_leader_since.insert(id, 0);
     }
     let (most, value_bytes) = (1, 2 * 1024);
     let mut handed = HashSet::new();
     let mut refused = 0;
     for turn in 1..200 {
-        let Some((txn, Call::ReportsViaState { machines, size })) = sent(&mut node, turn * 100)
+        let Some((txn, NodeCall::HeartbeatsViaStore { machines, size })) =
+            take_sent_transaction(&mut node, turn * 100)
         else {
             continue;
         };
         assert_eq!(txn.writes.len(), size.writes);
-        let large = |w: &Write<Value>| match w {
+        let large = |w: &Write<StoredRecord>| match w {
             Write::Put { value, .. } => {
-                assert!(json_len(value) <= node.limits.value_bytes());
-                assert!(json_len(value) <= size.largest);
-                json_len(value) > value_bytes
+                assert!(json_size_bytes(value) <= node.store_limits.max_value_bytes());
+                assert!(json_size_bytes(value) <= size.largest_value_bytes);
+                json_size_bytes(value) > value_bytes
             }
             Write::Delete { .. } => false,
         };
@@ -85,7 +91,7 @@
         if !refuse {
             handed.extend(machines.clone());
         }
-        node.stored_via_state(machines, size, Ok((status, vec![])));
+        node.handle_via_store_result(machines, size, Ok((status, vec![])));
     }
     assert_eq!(handed.len(), 60);
     assert!((1..20).contains(&refused), "{refused}");
@@ -94,24 +100,25 @@
 /// With small values one transaction would hold more records than a node has slots: the last would
 /// take the place of the first, and those reports would never arrive.
 #[test]
-fn no_far_record_takes_the_place_of_another_in_its_transaction() {
+fn no_relayed_heartbeats_record_overwrites_another_in_its_transaction() {
     let mut node = Node::new(settings(60.0, 32), 1);
-    node.limits.lower_value_to(2 * 1024);
-    node.sync = Sync::Live;
+    node.store_limits.set_max_value_bytes(2 * 1024);
+    node.replica_sync = ReplicaSync::Live;
     for n in 0..400 {
         let id = format!("host-{n}");
-        node.reports_via_state
-            .insert(id.clone(), (report(&id), true, 0));
-        node.redirected.insert(id, 0);
+        node.heartbeats_via_store
+            .insert(id.clone(), (heartbeat(&id), true, 0));
+        node.served_without_leader_since.insert(id, 0);
     }
     let mut handed = 0;
     for turn in 1..100 {
-        let Some((txn, Call::ReportsViaState { machines, .. })) = sent(&mut node, turn * 100)
+        let Some((txn, NodeCall::HeartbeatsViaStore { machines, .. })) =
+            take_sent_transaction(&mut node, turn * 100)
         else {
             continue;
         };
         handed += machines.len();
-        let key = |w: &Write<Value>| match w {
+        let key = |w: &Write<StoredRecord>| match w {
             Write::Put { key, .. } | Write::Delete { key } => key.clone(),
         };
         let keys: HashSet<String> = txn.writes.iter().map(key).collect();
@@ -122,12 +129,12 @@
 
 /// A transaction larger than what may be written in a second would be refused whenever it is sent.
 #[test]
-fn a_burst_is_no_larger_than_a_second_allows() {
+fn write_burst_stays_within_one_second_of_writes() {
     for (write_rps, txn_ops) in [(10.0, 32), (18.0, 4), (60.0, 32)] {
         let mut node = Node::new(settings(write_rps, txn_ops), 1);
-        node.role = Role::Leading;
+        node.role = Role::Leader;
         node.share_budgets();
-        let burst = node.writes.level(3_600_000);
+        let burst = node.write_budget.available(3_600_000);
         assert!(burst <= write_rps, "{burst}");
         assert!(burst >= write_rps.min(txn_ops as f64), "{burst}");
     }
@@ -136,77 +143,92 @@
 /// After a pause what was known before covers no lease: another may lead, and cancellations may have been
 /// confirmed. Only what was asked for since then does.
 #[test]
-fn a_pause_ends_the_permission_to_renew_leases_until_a_read() {
+fn a_pause_blocks_lease_renewal_until_a_read() {
     let mut set = settings(60.0, 8);
     set.peers = vec!["node-1".into()];
     let mut node = Node::new(set, 1);
     let turn = |node: &mut Node, ms| {
-        node.handle(Now { ms, wall_ms: ms }, [Event::Tick]);
+        node.handle(
+            Now {
+                monotonic_ms: ms,
+                wall_ms: ms,
+            },
+            [Event::Tick],
+        );
     };
     turn(&mut node, 1_000);
-    node.coverage.read(1_000);
-    assert!(node.covered());
-    turn(&mut node, 1_000 + k::PAUSE_MS);
-    assert!(!node.covered(), "nothing was asked for since");
+    node.cancellation_watermark.record_read(1_000);
+    assert!(node.watermark_current());
+    turn(&mut node, 1_000 + k::PROCESS_PAUSE_THRESHOLD_MS);
+    assert!(!node.watermark_current(), "nothing was asked for since");
     // The answer to what was asked before the pause.
-    node.coverage.read(1_000);
-    assert!(!node.covered());
-    node.coverage.read(1_000 + k::PAUSE_MS);
-    assert!(node.covered());
+    node.cancellation_watermark.record_read(1_000);
+    assert!(!node.watermark_current());
+    node.cancellation_watermark
+        .record_read(1_000 + k::PROCESS_PAUSE_THRESHOLD_MS);
+    assert!(node.watermark_current());
 }
 
 /// Reports that waited for the leader through a pause are refused, and not passed on as if they were new.
 #[test]
-fn stale_relays_are_refused_after_a_pause() {
+fn stale_relays_are_rejected_after_a_pause() {
     let mut set = settings(60.0, 8);
     set.peers = vec!["node-1".into()];
     let mut node = Node::new(set, 1);
     node.handle(
         Now {
-            ms: 1_000,
+            monotonic_ms: 1_000,
             wall_ms: 0,
         },
         [Event::Tick],
     );
-    let until = 1_000 + k::RELAY_TIMEOUT_MS;
-    node.relays.insert(1, (7, until, report("host-1")));
+    let until = 1_000 + k::HEARTBEAT_RELAY_TIMEOUT_MS;
+    node.pending_relays
+        .insert(1, (7, until, heartbeat("host-1")));
     let ms = until + 5_000;
-    let actions = node.handle(Now { ms, wall_ms: 0 }, [Event::Tick]);
+    let actions = node.handle(
+        Now {
+            monotonic_ms: ms,
+            wall_ms: 0,
+        },
+        [Event::Tick],
+    );
     let refused = |action: &Action| {
         matches!(
             action,
             Action::Reply {
-                id: 7,
+                request_id: 7,
                 status: 503,
                 ..
             }
         )
     };
     assert!(actions.iter().any(refused));
-    assert!(node.relays.is_empty() && node.reports_via_state.is_empty());
+    assert!(node.pending_relays.is_empty() && node.heartbeats_via_store.is_empty());
 }
 
 /// A cut may part thousands of machines from the leader: how many reports a transaction takes follows from what
 /// the state service allows, not from a number of records chosen for smaller fleets.
 #[test]
-fn reports_of_many_machines_take_all_that_a_transaction_holds() {
+fn heartbeats_of_many_machines_fill_a_transaction() {
     let (machines, writes) = (2_000, 32);
     let mut set = settings(1_000.0, writes);
-    set.value_bytes = 1024;
+    set.max_value_bytes = 1024;
     let mut node = Node::new(set, 1);
-    node.sync = Sync::Live;
+    node.replica_sync = ReplicaSync::Live;
     for n in 0..machines {
         let id = format!("host-{n}");
-        node.reports_via_state
-            .insert(id.clone(), (report(&id), true, 0));
-        node.redirected.insert(id, 0);
+        node.heartbeats_via_store
+            .insert(id.clone(), (heartbeat(&id), true, 0));
+        node.served_without_leader_since.insert(id, 0);
     }
-    let (txn, _) = sent(&mut node, 5_000).expect("due");
+    let (txn, _) = take_sent_transaction(&mut node, 5_000).expect("due");
     assert_eq!(txn.writes.len(), writes);
-    let key = |write: &Write<Value>| match write {
+    let key = |write: &Write<StoredRecord>| match write {
         Write::Put { key, .. } | Write::Delete { key } => key.clone(),
     };
     let first: HashSet<String> = txn.writes.iter().map(key).collect();
-    let (txn, _) = sent(&mut node, 5_000 + k::FAR_GAP_MS).expect("due");
+    let (txn, _) =
+        take_sent_transaction(&mut node, 5_000 + k::RELAYED_HEARTBEATS_INTERVAL_MS).expect("due");
     assert!(txn.writes.iter().all(|write| !first.contains(&key(write))));
 }
--- a/crates/control/src/node/resume.rs
+++ b/crates/control/src/node/resume.rs
@@ -6,10 +6,10 @@
     /// Nothing that the node knew before the pause entitles it to anything, and nobody else is judged by
     /// the time that went by.
     pub(super) fn resume(&mut self, pause: Pause) {
-        log::warn!("stood still for {} ms", pause.gap);
+        log::warn!("stood still for {} ms", pause.duration_ms);
         self.resumed_at = pause.now;
         // The proof is asked for at once.
-        self.barrier_at = pause.now;
+        self.next_barrier_at = pause.now;
         self.resume_election(pause);
         self.resume_links(pause);
         self.resume_workers(pause);
@@ -21,43 +21,43 @@
 
     /// Whether the node has read the state service, or heard all other nodes, since its last pause. Until then
     /// another node may lead, and cancellations may have been confirmed.
-    pub(super) fn proven(&self) -> bool {
-        let read = self.coverage.upto(self.now.ms);
+    pub(super) fn has_synced_since_pause(&self) -> bool {
+        let read = self.cancellation_watermark.watermark(self.now.monotonic_ms);
         self.resumed_at == 0 || read.is_some_and(|at| at >= self.resumed_at)
     }
 
     /// No election is due for the time that went by.
     fn resume_election(&mut self, pause: Pause) {
-        let wait = self.rng.random_range(0..k::ELECT_JITTER_MS);
+        let wait = self.rng.random_range(0..k::ELECTION_JITTER_MS);
         match &mut self.role {
-            Role::Waiting { until } => *until = pause.now + wait,
-            Role::Checking { until, .. } => pause.shift(until),
+            Role::ElectionBackoff { until } => *until = pause.now + wait,
+            Role::CampaignUnconfirmed { until, .. } => pause.shift(until),
             _ => {}
         }
-        pause.shift(&mut self.stand_at);
-        pause.shift_some(&mut self.resigned_at);
+        pause.shift(&mut self.next_campaign_at);
+        pause.shift_if_set(&mut self.resigned_at);
     }
 
     /// The other nodes and the state service were not silent; nobody listened.
     fn resume_links(&mut self, pause: Pause) {
-        for peer in self.peers.iter_mut().filter(|p| p.up) {
-            peer.heard = pause.now;
+        for peer in self.peers.iter_mut().filter(|p| p.is_connected) {
+            peer.last_heard_at = pause.now;
         }
-        self.state_ok_at = self.state_ok_at.max(pause.now);
+        self.last_store_success_at = self.last_store_success_at.max(pause.now);
     }
 
     /// What was concluded of workers from where they report goes on from here.
     fn resume_workers(&mut self, pause: Pause) {
         let times = [
-            &mut self.seen,
-            &mut self.let_go,
-            &mut self.away,
-            &mut self.redirected,
+            &mut self.last_heartbeat_at,
+            &mut self.released,
+            &mut self.probing,
+            &mut self.served_without_leader_since,
         ];
         for at in times.into_iter().flat_map(|map| map.values_mut()) {
             pause.shift(at);
         }
         // They are older than what the workers told others meanwhile.
-        self.reports_via_state.clear();
+        self.heartbeats_via_store.clear();
     }
 }
--- a/crates/control/src/node/role.rs
+++ b/crates/control/src/node/role.rs
@@ -1,5 +1,5 @@
 //! The steps by which a node comes to lead.
-use crate::api::Ms;
+use crate::api::Millis;
 
 /// Standing for election, step by step. The leader key is created under a fresh lease and only
 /// if there is none; the stamp it gets is the term.
@@ -8,13 +8,13 @@
     /// Another node leads, or none is known yet.
     Follower,
     /// No leader is known; waits a little so that not all stand at once.
-    Waiting { until: Ms },
+    ElectionBackoff { until: Millis },
     /// Has asked for a lease.
-    Granting,
+    AcquiringLease,
     /// Has sent the claim.
-    Claiming { lease: u64 },
+    Campaigning { lease: u64 },
     /// The claim went unanswered; the next read tells.
-    Checking { lease: u64, until: Ms },
+    CampaignUnconfirmed { lease: u64, until: Millis },
     /// The leader key is held under our lease.
-    Leading,
+    Leader,
 }
