--- a/crates/control/src/node/users.rs
+++ b/crates/control/src/node/users.rs
@@ -2,197 +2,219 @@
 use super::*;
 
 /// Why a submission is not taken.
-enum Refusal {
+enum AdmissionError {
     /// It can never run (422).
-    NeverRuns(String),
+    Infeasible(String),
     /// Its record is larger than a value may be (400).
     TooLarge,
 }
 
 impl Node {
-    pub(super) fn ask(&mut self, id: u64, ask: Ask) {
-        let (Ask::Poll(job) | Ask::Cancel(job)) = &ask else {
-            return self.submit(id, ask);
+    pub(super) fn handle_user_request(&mut self, id: u64, ask: UserRequest) {
+        let (UserRequest::Poll(job) | UserRequest::Cancel(job)) = &ask else {
+            return self.handle_submission(id, ask);
         };
         // What has ended stays so: no need to ask the state service.
         if self.replica.end_of(job).is_some() {
-            let status = self.status(job);
-            return self.out.reply(id, 200, None, &status);
+            let status = self.job_status(job);
+            return self.outbox.reply(id, 200, None, &status);
         }
         let patience = match ask {
-            Ask::Poll(_) => k::POLL_PATIENCE_MS,
-            _ => k::STORE_PATIENCE_MS,
+            UserRequest::Poll(_) => k::POLL_TIMEOUT_MS,
+            _ => k::SUBMISSION_TIMEOUT_MS,
         };
-        self.wait(Pending {
+        self.queue_for_barrier(PendingRequest {
             id,
-            ask,
-            until: self.now.ms + patience,
-            tries: 0,
+            request: ask,
+            expires_at: self.now.monotonic_ms + patience,
+            commit_attempts: 0,
         });
     }
 
-    pub(super) fn wait(&mut self, p: Pending) {
-        if self.sync != Sync::Live || self.state_out() {
-            return self.refuse(p.id);
+    pub(super) fn queue_for_barrier(&mut self, p: PendingRequest) {
+        if self.replica_sync != ReplicaSync::Live || self.is_store_unavailable() {
+            return self.reply_unavailable(p.id);
         }
-        self.waiting.push(p);
+        self.awaiting_barrier.push(p);
     }
 
-    pub(super) fn refuse(&mut self, id: u64) {
-        self.out.error(
+    pub(super) fn reply_unavailable(&mut self, id: u64) {
+        self.outbox.reply_error(
             id,
             503,
-            Some(k::RETRY_STATE_S),
+            Some(k::RETRY_AFTER_STORE_FAILURE_S),
             "the state service does not answer",
         );
     }
 
-    pub(super) fn give_up(&mut self, polls: Vec<Pending>) {
+    pub(super) fn reply_unavailable_to_all(&mut self, polls: Vec<PendingRequest>) {
         for p in polls {
-            self.refuse(p.id);
+            self.reply_unavailable(p.id);
         }
     }
 
-    pub(super) fn submit(&mut self, id: u64, ask: Ask) {
-        let Ask::Submit(spec) = &ask else { return };
-        log::debug!("{} submitted, state out {}", spec.id, self.state_out());
+    pub(super) fn handle_submission(&mut self, id: u64, ask: UserRequest) {
+        let UserRequest::Submit(spec) = &ask else {
+            return;
+        };
+        log::debug!(
+            "{} submitted, state out {}",
+            spec.id,
+            self.is_store_unavailable()
+        );
         if self.replica.end_of(&spec.id).is_some() {
-            let status = self.status(&spec.id);
-            return self.out.reply(id, 200, None, &status);
+            let status = self.job_status(&spec.id);
+            return self.outbox.reply(id, 200, None, &status);
         }
-        let p = |ask| Pending {
+        let p = |ask| PendingRequest {
             id,
-            ask,
-            until: self.now.ms + k::STORE_PATIENCE_MS,
-            tries: 0,
+            request: ask,
+            expires_at: self.now.monotonic_ms + k::SUBMISSION_TIMEOUT_MS,
+            commit_attempts: 0,
         };
         // Known jobs are answered before any other check.
         if self.replica.jobs.contains_key(&spec.id) {
             let p = p(ask);
-            return self.wait(p);
+            return self.queue_for_barrier(p);
         }
         let Some(catalog) = &self.catalog else {
-            return self.out.error(
+            return self.outbox.reply_error(
                 id,
                 503,
-                Some(k::RETRY_BUSY_S),
+                Some(k::RETRY_AFTER_OVERLOAD_S),
                 "machine types not known yet",
             );
         };
-        let verdict = self.verdict(spec, catalog);
-        if self.sync != Sync::Live || self.state_out() {
+        let verdict = self.check_admission(spec, catalog);
+        if self.replica_sync != ReplicaSync::Live || self.is_store_unavailable() {
             // Types and limits are alike on all nodes: none can have taken what never runs.
             return match verdict {
-                Err(Refusal::NeverRuns(why)) if self.sync == Sync::Live => {
-                    self.out.error(id, 422, None, &why);
+                Err(AdmissionError::Infeasible(why)) if self.replica_sync == ReplicaSync::Live => {
+                    self.outbox.reply_error(id, 422, None, &why);
                 }
-                _ => self.refuse(id),
+                _ => self.reply_unavailable(id),
             };
         }
         match verdict {
             // Another node may have taken it under other circumstances: ask before refusing.
             Err(_) => {
                 let p = p(ask);
-                self.wait(p);
+                self.queue_for_barrier(p);
             }
             Ok(()) => {
                 let p = p(ask);
-                self.store_submission(p);
+                self.enqueue_submission(p);
             }
         }
     }
 
     /// Queues a submission that can run; a gang only once the gate is open.
-    fn store_submission(&mut self, p: Pending) {
-        let gang = matches!(&p.ask, Ask::Submit(spec) if spec.kind == JobKind::Gang);
-        if gang && !self.gangs_open() {
+    fn enqueue_submission(&mut self, p: PendingRequest) {
+        let gang = matches!(&p.request, UserRequest::Submit(spec) if spec.kind == JobKind::Gang);
+        if gang && !self.gangs_enabled() {
             let why = "gangs are taken once every controller runs a release that knows them";
-            return self.out.error(p.id, 503, Some(k::RETRY_GATE_S), why);
+            return self
+                .outbox
+                .reply_error(p.id, 503, Some(k::RETRY_AFTER_FEATURE_GATE_S), why);
         }
-        self.to_store.push(p);
+        self.awaiting_commit.push(p);
     }
 
     /// Whether a job that is not known yet is taken.
-    fn verdict(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), Refusal> {
-        can_run(spec, &self.set, catalog).map_err(Refusal::NeverRuns)?;
+    fn check_admission(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), AdmissionError> {
+        check_feasibility(spec, &self.settings, catalog).map_err(AdmissionError::Infeasible)?;
         let record = JobRecord::submitted(spec, self.now.wall_ms);
-        if json_len(&record) > self.record_bytes() {
-            return Err(Refusal::TooLarge);
+        if json_size_bytes(&record) > self.max_record_bytes() {
+            return Err(AdmissionError::TooLarge);
         }
         Ok(())
     }
 
     /// Bytes of JSON that a job's record may take: a value, within a transaction of its own.
-    fn record_bytes(&self) -> usize {
-        let alone = k::TXN_BYTES - k::TXN_MARGIN - k::STORE_HEAD_BYTES;
-        self.limits.value_bytes().min(alone)
+    fn max_record_bytes(&self) -> usize {
+        let alone = k::MAX_TXN_BYTES - k::TXN_MARGIN_BYTES - k::JOB_WRITE_OVERHEAD_BYTES;
+        self.store_limits.max_value_bytes().min(alone)
     }
 
-    pub(super) fn advance_front(&mut self) {
-        let now = self.now.ms;
-        for list in [&mut self.waiting, &mut self.to_store] {
+    pub(super) fn advance_user_requests(&mut self) {
+        let now = self.now.monotonic_ms;
+        for list in [&mut self.awaiting_barrier, &mut self.awaiting_commit] {
             let mut late = vec![];
             let mut i = 0;
             while i < list.len() {
-                if now >= list[i].until {
+                if now >= list[i].expires_at {
                     late.push(list.swap_remove(i).id);
                 } else {
                     i += 1;
                 }
             }
             for id in late {
-                self.out.error(
+                self.outbox.reply_error(
                     id,
                     503,
-                    Some(k::RETRY_STATE_S),
+                    Some(k::RETRY_AFTER_STORE_FAILURE_S),
                     "the state service does not answer",
                 );
             }
         }
-        if !self.to_store.is_empty() && self.storing < 2 && now >= self.store_at {
-            self.store();
+        if !self.awaiting_commit.is_empty()
+            && self.commits_in_flight < 2
+            && now >= self.next_commit_at
+        {
+            self.commit_user_requests();
         }
         // Without requests nothing else would notice that the state service is back: the watch
         // may hang, and requests are refused meanwhile.
-        let probe = self.state_failed_at.is_some() && now >= self.barrier_at + k::STATE_PROBE_MS
-            || self.confirmation_due()
-            || !self.proven();
-        if (!self.waiting.is_empty() || probe)
-            && self.sync == Sync::Live
-            && self.barriers < 2
-            && now >= self.barrier_at
-            && self.reads.take(now, 1.0)
+        let probe = self.store_failing_since.is_some()
+            && now >= self.next_barrier_at + k::STORE_PROBE_INTERVAL_MS
+            || self.is_confirming_read_due()
+            || !self.has_synced_since_pause();
+        if (!self.awaiting_barrier.is_empty() || probe)
+            && self.replica_sync == ReplicaSync::Live
+            && self.barriers_in_flight < 2
+            && now >= self.next_barrier_at
+            && self.read_budget.try_take(now, 1.0)
         {
-            self.barriers += 1;
-            self.barrier_at = now + k::BARRIER_GAP_MS;
-            let polls = std::mem::take(&mut self.waiting);
+            self.barriers_in_flight += 1;
+            self.next_barrier_at = now + k::READ_BARRIER_INTERVAL_MS;
+            let polls = std::mem::take(&mut self.awaiting_barrier);
             let patience = polls
                 .iter()
-                .map(|p| p.until - now)
+                .map(|p| p.expires_at - now)
                 .min()
-                .unwrap_or(k::STATE_TIMEOUT_MS)
+                .unwrap_or(k::STORE_TIMEOUT_MS)
                 .max(100);
             let path = format!(
-                "/changes?prefix={COMMON}&since={}&holdMs=0",
+                "/changes?prefix={REPLICATED_PREFIX}&since={}&holdMs=0",
                 self.replica.revision
             );
-            let wait = patience.min(k::STATE_TIMEOUT_MS);
-            let call = self.out.call(Target::State, "GET", path, vec![], wait);
-            self.calls.insert(call, Call::Barrier { polls, sent: now });
+            let wait = patience.min(k::STORE_TIMEOUT_MS);
+            let call = self
+                .outbox
+                .start_call(Target::Store, "GET", path, vec![], wait);
+            self.calls_in_flight.insert(
+                call,
+                NodeCall::ReadBarrier {
+                    requests: polls,
+                    sent_at: now,
+                },
+            );
         }
     }
 
     /// The copy is to be confirmed by a read: the leader must not miss a cancel because its watch
     /// hangs, and nothing else helps where the other nodes' answers don't carry the coverage on.
-    fn confirmation_due(&self) -> bool {
-        let needed = self.role == Role::Leading || self.uncovered_ms() > k::CONFIRM_COPY_MS;
-        needed && self.now.ms >= self.barrier_at + k::CONFIRM_COPY_MS
+    fn is_confirming_read_due(&self) -> bool {
+        let needed =
+            self.role == Role::Leader || self.watermark_lag_ms() > k::REPLICA_CONFIRM_INTERVAL_MS;
+        needed && self.now.monotonic_ms >= self.next_barrier_at + k::REPLICA_CONFIRM_INTERVAL_MS
     }
 
     /// Puts as many submissions and cancels into one transaction as fit.
-    pub(super) fn store(&mut self) {
-        let now = self.now.ms;
-        let most = (self.writes.level(now) as usize).min(self.limits.transaction_writes());
+    pub(super) fn commit_user_requests(&mut self) {
+        let now = self.now.monotonic_ms;
+        let most = (self.write_budget.available(now) as usize)
+            .min(self.store_limits.max_transaction_writes());
         if most == 0 {
             return;
         }
@@ -201,215 +223,226 @@
             writes: vec![],
         };
         let (mut batch, mut rest, mut keys) = (vec![], vec![], HashSet::new());
-        let mut bytes = k::TXN_MARGIN;
+        let mut bytes = k::TXN_MARGIN_BYTES;
         let mut sent = TransactionSize::default();
-        let record_bytes = self.record_bytes();
-        for p in std::mem::take(&mut self.to_store) {
-            let (job, record, version) = match &p.ask {
-                Ask::Submit(spec) => {
+        let record_bytes = self.max_record_bytes();
+        for p in std::mem::take(&mut self.awaiting_commit) {
+            let (job, record, version) = match &p.request {
+                UserRequest::Submit(spec) => {
                     let record = JobRecord::submitted(spec, self.now.wall_ms);
                     (spec.id.clone(), record, 0)
                 }
-                Ask::Cancel(job) => match self.replica.jobs.get(job) {
+                UserRequest::Cancel(job) => match self.replica.jobs.get(job) {
                     Some(j) if j.record.end.is_none() => {
-                        let record = j.record.cancelled().within(record_bytes);
-                        (job.clone(), record, j.version)
+                        let record = j.record.cancelled().fit_within(record_bytes);
+                        (job.clone(), record, j.revision)
                     }
                     // Ended meanwhile: the barrier answers it.
                     _ => {
-                        self.waiting.push(p);
+                        self.awaiting_barrier.push(p);
                         continue;
                     }
                 },
-                Ask::Poll(_) => continue,
+                UserRequest::Poll(_) => continue,
             };
-            let value_bytes = json_len(&record);
+            let value_bytes = json_size_bytes(&record);
             // Another node may have taken it while values could be larger: look before refusing.
-            if value_bytes > record_bytes && matches!(p.ask, Ask::Submit(_)) {
-                self.waiting.push(p);
+            if value_bytes > record_bytes && matches!(p.request, UserRequest::Submit(_)) {
+                self.awaiting_barrier.push(p);
                 continue;
             }
-            let size = value_bytes + k::STORE_HEAD_BYTES;
-            if batch.len() >= most || bytes + size > k::TXN_BYTES || keys.contains(&job) {
+            let size = value_bytes + k::JOB_WRITE_OVERHEAD_BYTES;
+            if batch.len() >= most || bytes + size > k::MAX_TXN_BYTES || keys.contains(&job) {
                 rest.push(p);
                 continue;
             }
             bytes += size;
-            sent.add(value_bytes);
+            sent.add_write(value_bytes);
             let key = records::job_key(&job);
             txn.conditions.push(Condition {
                 key: key.clone(),
-                version,
+                revision: version,
             });
             txn.writes.push(Write::Put {
                 key,
-                value: Value::Job(Box::new(record)),
-                lease: None,
+                value: StoredRecord::Job(Box::new(record)),
+                lease_id: None,
             });
             keys.insert(job);
             batch.push(p);
         }
-        self.to_store = rest;
+        self.awaiting_commit = rest;
         if batch.is_empty() {
             return;
         }
         // Users wait for it: polls are answered after.
-        self.reads.force(now, 1.0);
-        self.writes.force(now, batch.len() as f64);
-        self.storing += 1;
-        self.transact(&txn, Call::Store { batch, size: sent });
+        self.read_budget.take_unconditionally(now, 1.0);
+        self.write_budget
+            .take_unconditionally(now, batch.len() as f64);
+        self.commits_in_flight += 1;
+        self.send_transaction(
+            &txn,
+            NodeCall::CommitUserRequests {
+                requests: batch,
+                size: sent,
+            },
+        );
     }
 
-    pub(super) fn stored(
+    pub(super) fn handle_user_commit_result(
         &mut self,
-        batch: Vec<Pending>,
+        batch: Vec<PendingRequest>,
         size: TransactionSize,
         result: CallResult,
     ) {
-        self.storing -= 1;
-        let now = self.now.ms;
+        self.commits_in_flight -= 1;
+        let now = self.now.monotonic_ms;
         if let Ok((200, _)) = result {
-            self.limits.accepted();
+            self.store_limits.record_accepted();
         }
         match result {
             Ok((200, body)) => {
-                let Ok(answer) = decode::<TxnAnswer>(&body) else {
-                    return self.give_up(batch);
+                let Ok(answer) = decode::<TxnResponse>(&body) else {
+                    return self.reply_unavailable_to_all(batch);
                 };
                 for p in batch {
-                    match &p.ask {
-                        Ask::Submit(spec) => {
+                    match &p.request {
+                        UserRequest::Submit(spec) => {
                             let record = JobRecord::submitted(spec, self.now.wall_ms);
                             let id = spec.id.clone();
-                            let asked = p.until.saturating_sub(k::STORE_PATIENCE_MS);
+                            let asked = p.expires_at.saturating_sub(k::SUBMISSION_TIMEOUT_MS);
                             log::debug!("{id} accepted after {} ms", now.saturating_sub(asked));
                             self.replica.put_job(&id, record, answer.revision);
-                            let body = status(&id, JobPhase::Queued);
-                            self.out.reply(p.id, 201, None, &body);
+                            let body = job_status_without_counts(&id, JobPhase::Queued);
+                            self.outbox.reply(p.id, 201, None, &body);
                         }
-                        Ask::Cancel(job) => {
+                        UserRequest::Cancel(job) => {
                             if let Some(j) = self.replica.jobs.get(job) {
                                 let record = j.record.cancelled();
                                 self.replica.put_job(job, record, answer.revision);
                             }
                             // Whoever serves the workers learns it before the user does.
-                            self.tell_cancelled();
-                            let body = status(job, JobPhase::Cancelled);
-                            self.out.reply(p.id, 200, None, &body);
+                            self.announce_cancellations();
+                            let body = job_status_without_counts(job, JobPhase::Cancelled);
+                            self.outbox.reply(p.id, 200, None, &body);
                         }
-                        Ask::Poll(_) => {}
+                        UserRequest::Poll(_) => {}
                     }
                 }
             }
             // Someone else was first with a key: look again before answering.
             Ok((409, body)) => {
-                let failed = decode::<TxnAnswer>(&body)
-                    .map(|a| a.failed)
+                let failed = decode::<TxnResponse>(&body)
+                    .map(|a| a.failed_keys)
                     .unwrap_or_default();
                 for mut p in batch {
-                    p.tries += 1;
-                    let key = match &p.ask {
-                        Ask::Submit(s) => records::job_key(&s.id),
-                        Ask::Poll(j) | Ask::Cancel(j) => records::job_key(j),
+                    p.commit_attempts += 1;
+                    let key = match &p.request {
+                        UserRequest::Submit(s) => records::job_key(&s.id),
+                        UserRequest::Poll(j) | UserRequest::Cancel(j) => records::job_key(j),
                     };
-                    if p.tries > 5 {
-                        self.refuse(p.id);
+                    if p.commit_attempts > 5 {
+                        self.reply_unavailable(p.id);
                     } else if failed.contains(&key) {
-                        self.waiting.push(p);
+                        self.awaiting_barrier.push(p);
                     } else {
-                        self.to_store.push(p);
+                        self.awaiting_commit.push(p);
                     }
                 }
             }
             Ok((429, _)) => {
-                self.limits.rate_refused();
-                self.store_at = now + k::STATE_RETRY_MS;
-                self.to_store.extend(batch);
+                self.store_limits.record_rate_rejected();
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.awaiting_commit.extend(batch);
             }
             // Most likely the limits were lowered: the same again, in smaller parts and behind the
             // others, until its users' patience ends.
             Ok((400, _)) => {
-                self.limits.size_refused(size);
-                self.store_at = now + k::STATE_RETRY_MS;
-                self.to_store.extend(batch);
+                self.store_limits.record_size_rejected(size);
+                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.awaiting_commit.extend(batch);
             }
             other => {
-                log::debug!("store failed: {}", describe(&other));
-                self.give_up(batch);
+                log::debug!("store failed: {}", describe_result(&other));
+                self.reply_unavailable_to_all(batch);
             }
         }
     }
 
     /// After a barrier: the copy is as new as the request.
-    pub(super) fn answer(&mut self, p: Pending) {
+    pub(super) fn reply_after_barrier(&mut self, p: PendingRequest) {
         // Read before a pause: other nodes may have told something newer since.
-        if self.now.ms >= p.until {
-            return self.refuse(p.id);
+        if self.now.monotonic_ms >= p.expires_at {
+            return self.reply_unavailable(p.id);
         }
-        match &p.ask {
-            Ask::Poll(job) => {
+        match &p.request {
+            UserRequest::Poll(job) => {
                 if self.replica.jobs.contains_key(job) {
-                    let status = self.status(job);
-                    self.out.reply(p.id, 200, None, &status);
+                    let status = self.job_status(job);
+                    self.outbox.reply(p.id, 200, None, &status);
                 } else {
-                    self.out.error(p.id, 404, None, "no such job");
+                    self.outbox.reply_error(p.id, 404, None, "no such job");
                 }
             }
-            Ask::Submit(spec) => {
+            UserRequest::Submit(spec) => {
                 if self.replica.jobs.contains_key(&spec.id) {
-                    let status = self.status(&spec.id);
-                    return self.out.reply(p.id, 200, None, &status);
+                    let status = self.job_status(&spec.id);
+                    return self.outbox.reply(p.id, 200, None, &status);
                 }
                 let verdict = match &self.catalog {
-                    Some(c) => self.verdict(spec, c),
-                    None => return self.refuse(p.id),
+                    Some(c) => self.check_admission(spec, c),
+                    None => return self.reply_unavailable(p.id),
                 };
                 match verdict {
-                    Ok(()) => self.store_submission(p),
-                    Err(Refusal::NeverRuns(why)) => self.out.error(p.id, 422, None, &why),
-                    Err(Refusal::TooLarge) => self.out.error(p.id, 400, None, "too large"),
+                    Ok(()) => self.enqueue_submission(p),
+                    Err(AdmissionError::Infeasible(why)) => {
+                        self.outbox.reply_error(p.id, 422, None, &why)
+                    }
+                    Err(AdmissionError::TooLarge) => {
+                        self.outbox.reply_error(p.id, 400, None, "too large")
+                    }
                 }
             }
-            Ask::Cancel(job) => match self.replica.jobs.get(job) {
-                None => self.out.error(p.id, 404, None, "no such job"),
+            UserRequest::Cancel(job) => match self.replica.jobs.get(job) {
+                None => self.outbox.reply_error(p.id, 404, None, "no such job"),
                 Some(j) if j.record.end.is_some() => {
-                    let status = self.status(job);
-                    self.out.reply(p.id, 200, None, &status);
+                    let status = self.job_status(job);
+                    self.outbox.reply(p.id, 200, None, &status);
                 }
-                Some(_) => self.to_store.push(p),
+                Some(_) => self.awaiting_commit.push(p),
             },
         }
     }
 
-    pub(super) fn status(&self, job: &str) -> JobStatus {
+    pub(super) fn job_status(&self, job: &str) -> JobStatus {
         let Some(j) = self.replica.jobs.get(job) else {
-            return status(job, JobPhase::Queued);
+            return job_status_without_counts(job, JobPhase::Queued);
         };
         let (done, running) = match &self.leader {
-            Some(l) => l.counts(job),
-            None => self.counts.get(job).copied().unwrap_or((0, 0)),
+            Some(l) => l.task_counts(job),
+            None => self.job_counts.get(job).copied().unwrap_or((0, 0)),
         };
         let (state, done, running) = match j.record.end {
-            Some(End::Done) => (JobPhase::Done, j.record.tasks, 0),
-            Some(End::Cancelled) => (JobPhase::Cancelled, done, 0),
+            Some(JobEnd::Done) => (JobPhase::Done, j.record.tasks, 0),
+            Some(JobEnd::Cancelled) => (JobPhase::Cancelled, done, 0),
             None if running > 0 => (JobPhase::Running, done, running),
             None => (JobPhase::Queued, done, 0),
         };
         JobStatus {
             id: job.into(),
-            state,
-            done: Some(done),
-            running: Some(running),
+            phase: state,
+            tasks_done: Some(done),
+            tasks_running: Some(running),
         }
     }
 }
 
-fn status(job: &str, state: JobPhase) -> JobStatus {
+fn job_status_without_counts(job: &str, state: JobPhase) -> JobStatus {
     JobStatus {
         id: job.into(),
-        state,
-        done: None,
-        running: None,
+        phase: state,
+        tasks_done: None,
+        tasks_running: None,
     }
 }
 
--- a/crates/control/src/node/users_tests.rs
+++ b/crates/control/src/node/users_tests.rs
@@ -1,38 +1,45 @@
 use super::*;
 use crate::node::relay::tests::settings;
 
-const QUESTIONS: u64 = 2_000;
+const POLL_COUNT: u64 = 2_000;
 
 /// A node whose copy of the jobs is live and holds one job.
-fn live_node() -> Node {
+fn synced_node() -> Node {
     let mut node = Node::new(settings(60.0, 8), 1);
-    node.sync = Sync::Live;
+    node.replica_sync = ReplicaSync::Live;
     node.replica.revision = 5;
     let record = JobRecord {
         tasks: 1,
-        at: 0,
+        submitted_at_ms: 0,
         spec: None,
         end: None,
-        seen: None,
+        observed_run_times: None,
     };
     node.replica.put_job("run-1", record, 5);
     node
 }
 
-fn question(id: u64) -> Event {
+fn poll_event(id: u64) -> Event {
     let request = Request {
         method: "GET".into(),
         path: "/submissions/run-1".into(),
-        close: false,
+        connection_close: false,
         body: vec![],
     };
-    Event::Request { id, request }
+    Event::Request {
+        request_id: id,
+        request,
+    }
 }
 
 /// Calls that read the changes without waiting for any.
-fn reads(actions: &[Action]) -> Vec<u64> {
+fn read_barrier_calls(actions: &[Action]) -> Vec<u64> {
     let read = |action: &Action| match action {
-        Action::Call { call, path, .. } if path.ends_with("holdMs=0") => Some(*call),
+        Action::Call {
+            call_id: call,
+            path,
+            ..
+        } if path.ends_with("holdMs=0") => Some(*call),
         _ => None,
     };
     actions.iter().filter_map(read).collect()
@@ -41,21 +48,24 @@
 /// The work of a storm: questions that wait together share one read of the state service, and those that
 /// come while it is under way share the next, a few a second at most.
 #[test]
-fn questions_that_come_together_cost_one_read() {
-    let mut node = live_node();
-    let now = |ms| Now { ms, wall_ms: ms };
-    let actions = node.handle(now(1_000), (0..QUESTIONS).map(question));
-    let read = reads(&actions);
+fn concurrent_polls_share_one_read_barrier() {
+    let mut node = synced_node();
+    let now = |ms| Now {
+        monotonic_ms: ms,
+        wall_ms: ms,
+    };
+    let actions = node.handle(now(1_000), (0..POLL_COUNT).map(poll_event));
+    let read = read_barrier_calls(&actions);
     assert_eq!(read.len(), 1);
-    let more = (QUESTIONS..2 * QUESTIONS).map(question);
-    assert_eq!(reads(&node.handle(now(1_010), more)).len(), 0);
-    let changes: Changes<Common> = Changes {
+    let more = (POLL_COUNT..2 * POLL_COUNT).map(poll_event);
+    assert_eq!(read_barrier_calls(&node.handle(now(1_010), more)).len(), 0);
+    let changes: WatchResponse<ReplicatedRecord> = WatchResponse {
         revision: 5,
         events: vec![],
     };
     let result = Ok((200, encode(&changes)));
     let answered = Event::CallDone {
-        call: read[0],
+        call_id: read[0],
         result,
     };
     let actions = node.handle(now(1_020), [answered]);
@@ -64,9 +74,9 @@
         .filter(|a| matches!(a, Action::Reply { status: 200, .. }));
     assert_eq!(
         replies.count() as u64,
-        QUESTIONS,
+        POLL_COUNT,
         "none newer than the read"
     );
-    let later = node.handle(now(1_000 + k::BARRIER_GAP_MS), [Event::Tick]);
-    assert_eq!(reads(&later).len(), 1);
+    let later = node.handle(now(1_000 + k::READ_BARRIER_INTERVAL_MS), [Event::Tick]);
+    assert_eq!(read_barrier_calls(&later).len(), 1);
 }
--- a/crates/control/src/overdue.rs
+++ b/crates/control/src/overdue.rs
@@ -3,65 +3,65 @@
 //! while small work keeps arriving. So from time to time a part of its tasks goes before all
 //! but urgent work: it takes the room there is, and where none fits, one machine's room, or the
 //! team's, is kept for it until it does.
-use crate::api::Ms;
-use crate::leader::{Ctx, Leader};
-use crate::ledger::{Machine, Work};
+use crate::api::Millis;
+use crate::leader::{Leader, LeaderContext};
+use crate::ledger::{JobState, Machine};
 use std::collections::HashMap;
 use stonegw_constants as k;
 use stonegw_wire::msg::JobSpec;
 
 /// What is kept for a job that waited for long.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kept {
+pub enum AgingReservation {
     Machine(String),
     /// What its team may still take.
-    Team(String),
+    TeamLimit(String),
 }
 
 impl Leader {
     /// Sets down who is owed a start.
-    fn count_owed(&mut self, ctx: &Ctx) {
-        let now = ctx.now.ms;
-        for (id, w) in &mut self.works {
+    fn update_starved_tasks(&mut self, ctx: &LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        for (id, w) in &mut self.jobs {
             // No room is kept for a job that fails everywhere.
             let broken = w.failures.job_is_broken();
-            if w.pending.is_empty() || w.ending || w.urgent() || broken {
-                w.owed = 0;
+            if w.pending_tasks.is_empty() || w.end_write_in_flight || w.is_urgent() || broken {
+                w.starved_tasks = 0;
                 continue;
             }
-            let age = ctx.now.wall_ms.saturating_sub(w.at);
-            let waited = match w.moved_at {
-                Some(at) => now >= at + k::OVERDUE_AGAIN_MS,
-                None if w.done_count > 0 || self.machines.present_of(id).next().is_some() => {
+            let age = ctx.now.wall_ms.saturating_sub(w.submitted_at_ms);
+            let waited = match w.last_placed_at {
+                Some(at) => now >= at + k::STARVATION_REPEAT_MS,
+                None if w.done_count > 0 || self.machines.present_tasks(id).next().is_some() => {
                     // Begun under an earlier leader.
-                    w.moved_at = Some(now);
+                    w.last_placed_at = Some(now);
                     false
                 }
-                None => age >= k::OVERDUE_MS,
+                None => age >= k::STARVATION_MS,
             };
-            if waited && w.owed == 0 {
-                w.owed = (w.spec.tasks as usize).div_ceil(k::OVERDUE_PART);
+            if waited && w.starved_tasks == 0 {
+                w.starved_tasks = (w.spec.task_count as usize).div_ceil(k::STARVED_TASKS_DIVISOR);
             }
         }
     }
 
     /// Starts what is owed, the longest accepted first.
-    pub fn place_overdue(&mut self, ctx: &Ctx) {
-        self.count_owed(ctx);
+    pub fn place_starved(&mut self, ctx: &LeaderContext) {
+        self.update_starved_tasks(ctx);
         let mut waiting: Vec<(u64, String)> = self
-            .works
+            .jobs
             .iter()
-            .filter(|(_, w)| w.owed > 0 && ctx.now.ms >= w.retry_at)
-            .map(|(id, w)| (w.at, id.clone()))
+            .filter(|(_, w)| w.starved_tasks > 0 && ctx.now.monotonic_ms >= w.retry_at)
+            .map(|(id, w)| (w.submitted_at_ms, id.clone()))
             .collect();
         waiting.sort();
-        let works = &self.works;
-        let owed = |job: &String| works.get(job).is_some_and(|w| w.owed > 0);
-        self.sched.kept.retain(|job, _| owed(job));
+        let works = &self.jobs;
+        let owed = |job: &String| works.get(job).is_some_and(|w| w.starved_tasks > 0);
+        self.scheduler.aging_reservations.retain(|job, _| owed(job));
         for (_, job) in waiting {
-            while self.place_owed(ctx, &job) {}
-            if self.works.get(&job).is_none_or(|w| w.owed == 0) {
-                self.sched.kept.remove(&job);
+            while self.place_starved_task(ctx, &job) {}
+            if self.jobs.get(&job).is_none_or(|w| w.starved_tasks == 0) {
+                self.scheduler.aging_reservations.remove(&job);
             }
         }
     }
@@ -69,52 +69,52 @@
     /// Room that the mapping leaves free goes, first fit, to jobs without a start for a while, whose
     /// tasks it put off for too small a chance or queued behind others elsewhere: a low chance is
     /// better than none beside an idle machine. Room that queued tasks wait for is taken later.
-    pub fn place_put_off(&mut self, ctx: &Ctx) {
-        let now = ctx.now.ms;
-        let waited = |w: &Work| {
-            w.moved_at.map_or_else(
-                || ctx.now.wall_ms.saturating_sub(w.at),
+    pub fn place_deferred(&mut self, ctx: &LeaderContext) {
+        let now = ctx.now.monotonic_ms;
+        let waited = |w: &JobState| {
+            w.last_placed_at.map_or_else(
+                || ctx.now.wall_ms.saturating_sub(w.submitted_at_ms),
                 |at| now.saturating_sub(at),
             )
         };
-        let waits = |id: &str, w: &Work| {
-            waited(w) >= k::PUT_OFF_MS
-                && (!w.pending.is_empty() || self.machines.held_of(id) > 0)
-                && !w.ending
+        let waits = |id: &str, w: &JobState| {
+            waited(w) >= k::DEFERRED_PLACEMENT_MS
+                && (!w.pending_tasks.is_empty() || self.machines.queued_count(id) > 0)
+                && !w.end_write_in_flight
                 && now >= w.retry_at
         };
-        let waiting = self.works.iter().filter(|(id, w)| waits(id, w));
-        let queued = |w: &Work| waited(w) >= k::PUT_OFF_QUEUED_MS;
-        let waiting = waiting.map(|(id, w)| (w.at, id.clone(), queued(w)));
+        let waiting = self.jobs.iter().filter(|(id, w)| waits(id, w));
+        let queued = |w: &JobState| waited(w) >= k::DEFERRED_PLACEMENT_QUEUED_MS;
+        let waiting = waiting.map(|(id, w)| (w.submitted_at_ms, id.clone(), queued(w)));
         let mut waiting: Vec<(u64, String, bool)> = waiting.collect();
         if waiting.is_empty() {
             return;
         }
         waiting.sort();
-        let roomy = self.roomy(ctx);
-        let kept_for_s = self.kept_for_s(ctx);
+        let roomy = self.machines_with_capacity(ctx);
+        let kept_for_s = self.backfill_windows_s(ctx);
         for (_, job, queued) in waiting {
-            let Some(spec) = self.works.get(&job).map(|w| w.spec.clone()) else {
+            let Some(spec) = self.jobs.get(&job).map(|w| w.spec.clone()) else {
                 continue;
             };
-            let run_s = self.sched.mean_s(&spec);
+            let run_s = self.scheduler.mean_run_s(&spec);
             // Room kept for another is lent for as long as that one can't start there anyway.
             let lent = |id: &String| queued && kept_for_s.get(id).is_some_and(|s| run_s <= *s);
             let lent: Vec<String> = roomy.iter().filter(|id| lent(id)).cloned().collect();
-            while self.place_one_put_off(ctx, &job, &roomy, &lent, queued) {}
+            while self.place_deferred_task(ctx, &job, &roomy, &lent, queued) {}
         }
     }
 
     /// Machines with room that is kept, and in how many seconds about enough will have ended there
     /// for the task it is kept for.
-    fn kept_for_s(&mut self, ctx: &Ctx) -> HashMap<String, f64> {
+    fn backfill_windows_s(&mut self, ctx: &LeaderContext) -> HashMap<String, f64> {
         let mut out = HashMap::new();
-        for (job, kept) in &self.sched.kept.clone() {
-            let (Kept::Machine(id), Some(w)) = (kept, self.works.get(job)) else {
+        for (job, kept) in &self.scheduler.aging_reservations.clone() {
+            let (AgingReservation::Machine(id), Some(w)) = (kept, self.jobs.get(job)) else {
                 continue;
             };
             let spec = w.spec.clone();
-            if let Some(s) = self.room_after_s(ctx, id, &spec) {
+            if let Some(s) = self.capacity_available_in_s(ctx, id, &spec) {
                 out.insert(id.clone(), s);
             }
         }
@@ -123,27 +123,33 @@
 
     /// Seconds until what runs on a machine has left room for a task, by the mean run times. `None`: what
     /// is there does not end by itself.
-    fn room_after_s(&mut self, ctx: &Ctx, machine: &str, spec: &JobSpec) -> Option<f64> {
+    fn capacity_available_in_s(
+        &mut self,
+        ctx: &LeaderContext,
+        machine: &str,
+        spec: &JobSpec,
+    ) -> Option<f64> {
         let m = self.machines.get(machine)?;
-        let (mut cpus, mut gpus, mut memory) = m.free(self.kind(&m.kind)?);
+        let (mut cpus, mut gpus, mut memory) =
+            m.free_resources(self.machine_type(&m.machine_type)?);
         let mut ends: Vec<(f64, f64, f64, f64)> = vec![];
-        for p in m.placements.iter().filter(|p| p.present()) {
-            let Some(w) = self.works.get(&p.job).filter(|w| !w.urgent()) else {
+        for p in m.placements.iter().filter(|p| p.is_present()) {
+            let Some(w) = self.jobs.get(&p.job).filter(|w| !w.is_urgent()) else {
                 continue;
             };
-            let ran_s = p
-                .running_at
-                .map_or(0.0, |at| ctx.now.ms.saturating_sub(at) as f64 / 1e3);
+            let ran_s = p.running_at.map_or(0.0, |at| {
+                ctx.now.monotonic_ms.saturating_sub(at) as f64 / 1e3
+            });
             // One that has run for longer than the mean may go on for as long again.
-            let left_s = (self.sched.mean_s(&w.spec) - ran_s).abs();
-            ends.push((left_s, p.cpus, p.gpus, p.memory));
+            let left_s = (self.scheduler.mean_run_s(&w.spec) - ran_s).abs();
+            ends.push((left_s, p.cpus, p.gpus, p.memory_gb));
         }
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (left_s, c, g, mem) in ends {
             (cpus, gpus, memory) = (cpus + c, gpus + g, memory + mem);
-            let fits = cpus + k::EPSILON >= spec.cpus
-                && gpus + k::EPSILON >= spec.gpus
-                && memory + k::EPSILON >= spec.memory_gb;
+            let fits = cpus + k::RESOURCE_EPSILON >= spec.cpus
+                && gpus + k::RESOURCE_EPSILON >= spec.gpus
+                && memory + k::RESOURCE_EPSILON >= spec.memory_gb;
             if fits {
                 return Some(left_s);
             }
@@ -153,128 +159,154 @@
 
     /// `lent`: machines whose room is kept for another but not needed yet. `queued`: machines with a
     /// queue will do as well.
-    fn place_one_put_off(
+    fn place_deferred_task(
         &mut self,
-        ctx: &Ctx,
+        ctx: &LeaderContext,
         job: &str,
         roomy: &[String],
         lent: &[String],
         queued: bool,
     ) -> bool {
-        let Some(w) = self.works.get(job) else {
+        let Some(w) = self.jobs.get(job) else {
             return false;
         };
-        let held = self.machines.first_held(job);
-        let Some(index) = w.pending.first().copied().or(held) else {
+        let held = self.machines.first_queued(job);
+        let Some(index) = w.pending_tasks.first().copied().or(held) else {
             return false;
         };
         let spec = &w.spec;
-        let startable = w.startable(ctx.now.ms) > 0;
-        if !startable || !self.allows(ctx, spec, (0.0, 0.0)) || self.team_kept(spec) {
+        let startable = w.start_limit(ctx.now.monotonic_ms) > 0;
+        if !startable
+            || !self.within_limit(ctx, spec, (0.0, 0.0))
+            || self.is_team_reserved_for_other(spec)
+        {
             return false;
         }
         let takes = |m: &&Machine| {
-            (queued || m.held.is_empty())
-                && self.room(m, spec)
-                && self.usable(ctx, m, w)
-                && (!self.is_kept(&m.id, job) || lent.contains(&m.id))
-                && !self.is_made(ctx.now.ms, &m.id)
+            (queued || m.queued.is_empty())
+                && self.has_capacity(m, spec)
+                && self.is_eligible(ctx, m, w)
+                && (!self.is_reserved_for_other(&m.id, job) || lent.contains(&m.id))
+                && !self.is_being_cleared(ctx.now.monotonic_ms, &m.id)
         };
         let fit = roomy.iter().filter_map(|id| self.machines.get(id));
         let fit = fit.filter(takes);
-        let fit = fit.min_by_key(|m| (!m.held.is_empty(), self.first_fit(m, spec)));
+        let fit = fit.min_by_key(|m| (!m.queued.is_empty(), self.first_fit_key(m, spec)));
         let Some(id) = fit.map(|m| m.id.clone()) else {
             return false;
         };
         log::debug!("{job}/{index} was put off for long and takes room on {id}");
-        self.unhold(job, index);
-        let placed = self.place(&id, job, index);
+        self.dequeue(job, index);
+        let placed = self.place_task(&id, job, index);
         if !placed {
-            self.back(job, index);
+            self.requeue_task(job, index);
         }
         placed
     }
 
     /// Places one task that is owed. False: there is none, or no room for it yet.
-    fn place_owed(&mut self, ctx: &Ctx, job: &str) -> bool {
-        let Some(w) = self.works.get(job).filter(|w| w.owed > 0) else {
+    fn place_starved_task(&mut self, ctx: &LeaderContext, job: &str) -> bool {
+        let Some(w) = self.jobs.get(job).filter(|w| w.starved_tasks > 0) else {
             return false;
         };
-        let Some(index) = w.next_fresh().or_else(|| w.pending.first().copied()) else {
+        let Some(index) = w
+            .next_unpruned()
+            .or_else(|| w.pending_tasks.first().copied())
+        else {
             return false;
         };
-        if w.startable(ctx.now.ms) == 0 {
+        if w.start_limit(ctx.now.monotonic_ms) == 0 {
             return false;
         }
         let spec = w.spec.clone();
-        if !self.allows(ctx, &spec, (0.0, 0.0)) {
-            let kept = Kept::Team(spec.team);
-            self.sched.kept.insert(job.into(), kept);
+        if !self.within_limit(ctx, &spec, (0.0, 0.0)) {
+            let kept = AgingReservation::TeamLimit(spec.team);
+            self.scheduler.aging_reservations.insert(job.into(), kept);
             return false;
         }
         let fit = self
             .machines
             .values()
-            .filter(|m| self.room(m, &spec) && self.usable(ctx, m, w) && !self.is_kept(&m.id, job))
-            .min_by_key(|m| self.first_fit(m, &spec))
+            .filter(|m| {
+                self.has_capacity(m, &spec)
+                    && self.is_eligible(ctx, m, w)
+                    && !self.is_reserved_for_other(&m.id, job)
+            })
+            .min_by_key(|m| self.first_fit_key(m, &spec))
             .map(|m| m.id.clone());
         if let Some(id) = fit {
-            return self.place(&id, job, index);
+            return self.place_task(&id, job, index);
         }
         let usable = |id: &str| {
             self.machines
                 .get(id)
-                .is_some_and(|m| self.usable(ctx, m, w))
+                .is_some_and(|m| self.is_eligible(ctx, m, w))
         };
-        if matches!(self.sched.kept.get(job), Some(Kept::Machine(id)) if usable(id)) {
+        if matches!(self.scheduler.aging_reservations.get(job), Some(AgingReservation::Machine(id)) if usable(id))
+        {
             return false;
         }
-        self.sched.kept.remove(job);
-        if let Some(id) = self.machine_to_keep(ctx, job, w) {
+        self.scheduler.aging_reservations.remove(job);
+        if let Some(id) = self.machine_for_aging_reservation(ctx, job, w) {
             log::info!("{job} waited for long: room on {id} is kept for it");
-            self.sched.kept.insert(job.into(), Kept::Machine(id));
+            self.scheduler
+                .aging_reservations
+                .insert(job.into(), AgingReservation::Machine(id));
         }
         false
     }
 
     /// Where least has to end for a task of the job to fit.
-    fn machine_to_keep(&self, ctx: &Ctx, job: &str, w: &Work) -> Option<String> {
+    fn machine_for_aging_reservation(
+        &self,
+        ctx: &LeaderContext,
+        job: &str,
+        w: &JobState,
+    ) -> Option<String> {
         let spec = &w.spec;
         let holds = |m: &Machine| {
-            self.kind(&m.kind).is_some_and(|t| {
-                t.cpus + k::EPSILON >= spec.cpus
-                    && t.gpus + k::EPSILON >= spec.gpus
-                    && t.memory_gb + k::EPSILON >= spec.memory_gb
+            self.machine_type(&m.machine_type).is_some_and(|t| {
+                t.cpus + k::RESOURCE_EPSILON >= spec.cpus
+                    && t.gpus + k::RESOURCE_EPSILON >= spec.gpus
+                    && t.memory_gb + k::RESOURCE_EPSILON >= spec.memory_gb
             })
         };
         self.machines
             .values()
-            .filter(|m| holds(m) && self.usable(ctx, m, w) && !self.is_kept(&m.id, job))
-            .min_by_key(|m| ((self.staying(m).0 * 1e3) as i64, (m.used().0 * 1e3) as Ms))
+            .filter(|m| {
+                holds(m) && self.is_eligible(ctx, m, w) && !self.is_reserved_for_other(&m.id, job)
+            })
+            .min_by_key(|m| {
+                (
+                    (self.urgent_usage(m).0 * 1e3) as i64,
+                    (m.used_resources().0 * 1e3) as Millis,
+                )
+            })
             .map(|m| m.id.clone())
     }
 
     /// What urgent work takes of a machine, which does not end by itself.
-    pub fn staying(&self, m: &Machine) -> (f64, f64, f64) {
-        let urgent = |job: &str| self.works.get(job).is_some_and(Work::urgent);
+    pub fn urgent_usage(&self, m: &Machine) -> (f64, f64, f64) {
+        let urgent = |job: &str| self.jobs.get(job).is_some_and(JobState::is_urgent);
         let stay = m.placements.iter();
-        let stay = stay.filter(|p| p.present() && urgent(&p.job));
+        let stay = stay.filter(|p| p.is_present() && urgent(&p.job));
         stay.fold((0.0, 0.0, 0.0), |(c, g, mem), p| {
-            (c + p.cpus, g + p.gpus, mem + p.memory)
+            (c + p.cpus, g + p.gpus, mem + p.memory_gb)
         })
     }
 
     /// Whether a machine's room is kept for another job.
-    pub fn is_kept(&self, machine: &str, job: &str) -> bool {
-        let mut kept = self.sched.kept.iter();
-        kept.any(|(j, k)| j != job && matches!(k, Kept::Machine(m) if m == machine))
-            || self.is_reserved(machine, job)
+    pub fn is_reserved_for_other(&self, machine: &str, job: &str) -> bool {
+        let mut kept = self.scheduler.aging_reservations.iter();
+        kept.any(|(j, k)| j != job && matches!(k, AgingReservation::Machine(m) if m == machine))
+            || self.is_gang_reserved_for_other(machine, job)
     }
 
     /// Whether what its team may still take is kept for another job.
-    pub fn team_kept(&self, spec: &JobSpec) -> bool {
-        let mut kept = self.sched.kept.iter();
-        kept.any(|(j, k)| *j != spec.id && matches!(k, Kept::Team(t) if *t == spec.team))
-            || self.is_team_reserved(&spec.team, &spec.id)
+    pub fn is_team_reserved_for_other(&self, spec: &JobSpec) -> bool {
+        let mut kept = self.scheduler.aging_reservations.iter();
+        kept.any(|(j, k)| {
+            *j != spec.id && matches!(k, AgingReservation::TeamLimit(t) if *t == spec.team)
+        }) || self.is_team_gang_reserved_for_other(&spec.team, &spec.id)
     }
 }
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -4,29 +4,29 @@
 //! What concerns the node's own rights counts as expired after a pause, until it is proven by an answer to
 //! what was asked after it (`Node::proven`). What it would conclude about others from elapsed time
 //! starts its wait anew: each part shifts its own times, in its `resume`.
-use crate::api::Ms;
+use crate::api::Millis;
 use stonegw_constants as k;
 
 /// A pause that has just ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pause {
     /// The present time.
-    pub now: Ms,
+    pub now: Millis,
     /// By how much the clock went on, ms.
-    pub gap: Ms,
+    pub duration_ms: Millis,
 }
 
 impl Pause {
     /// Moves a time of the past on, so that the pause does not count as time passed since. 0 is
     /// "never" and stays.
-    pub fn shift(&self, at: &mut Ms) {
+    pub fn shift(&self, at: &mut Millis) {
         if *at > 0 {
-            *at += self.gap;
+            *at += self.duration_ms;
         }
     }
 
     /// The same for a time that may not be set.
-    pub fn shift_some(&self, at: &mut Option<Ms>) {
+    pub fn shift_if_set(&self, at: &mut Option<Millis>) {
         if let Some(at) = at {
             self.shift(at);
         }
@@ -36,15 +36,18 @@
 /// Watches the turns of a process for pauses between them.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
-    last_turn: Option<Ms>,
+    last_turn_at: Option<Millis>,
 }
 
 impl PauseDetector {
     /// Notes a turn. `Some`: the time since the last one can't have been spent at work.
-    pub fn turn(&mut self, now: Ms) -> Option<Pause> {
-        let last_turn = self.last_turn.replace(now)?;
+    pub fn record_turn(&mut self, now: Millis) -> Option<Pause> {
+        let last_turn = self.last_turn_at.replace(now)?;
         let gap = now.saturating_sub(last_turn);
-        (gap >= k::PAUSE_MS).then_some(Pause { now, gap })
+        (gap >= k::PROCESS_PAUSE_THRESHOLD_MS).then_some(Pause {
+            now,
+            duration_ms: gap,
+        })
     }
 }
 
--- a/crates/control/src/pause_tests.rs
+++ b/crates/control/src/pause_tests.rs
@@ -3,20 +3,31 @@
 #[test]
 fn only_a_long_time_between_turns_is_a_pause() {
     let mut detector = PauseDetector::default();
-    assert_eq!(detector.turn(50_000), None, "the first turn follows none");
-    assert_eq!(detector.turn(50_100), None);
-    assert_eq!(detector.turn(50_100 + k::PAUSE_MS - 1), None);
-    let now = 50_100 + 2 * k::PAUSE_MS - 1;
-    let gap = k::PAUSE_MS;
-    assert_eq!(detector.turn(now), Some(Pause { now, gap }));
-    assert_eq!(detector.turn(now + 100), None, "one pause is told once");
+    assert_eq!(
+        detector.record_turn(50_000),
+        None,
+        "the first turn follows none"
+    );
+    assert_eq!(detector.record_turn(50_100), None);
+    assert_eq!(
+        detector.record_turn(50_100 + k::PROCESS_PAUSE_THRESHOLD_MS - 1),
+        None
+    );
+    let now = 50_100 + 2 * k::PROCESS_PAUSE_THRESHOLD_MS - 1;
+    let duration_ms = k::PROCESS_PAUSE_THRESHOLD_MS;
+    assert_eq!(detector.record_turn(now), Some(Pause { now, duration_ms }));
+    assert_eq!(
+        detector.record_turn(now + 100),
+        None,
+        "one pause is told once"
+    );
 }
 
 #[test]
-fn times_move_on_and_never_stays_never() {
+fn shift_moves_set_times_and_leaves_unset_ones() {
     let pause = Pause {
         now: 20_000,
-        gap: 9_000,
+        duration_ms: 9_000,
     };
     let (mut never, mut past) = (0, 10_000);
     pause.shift(&mut never);
--- a/crates/control/src/preempt.rs
+++ b/crates/control/src/preempt.rs
@@ -1,8 +1,8 @@
 //! Making room: urgent work pushes lesser work aside, and teams within their guarantee take back
 //! what others borrow.
-use crate::api::Ms;
-use crate::leader::{Ctx, Leader};
-use crate::ledger::{Life, Machine, Phase, Placement, Work};
+use crate::api::Millis;
+use crate::leader::{Leader, LeaderContext};
+use crate::ledger::{JobState, Lifecycle, Machine, Phase, Placement};
 use crate::resources::Resources;
 use std::collections::HashMap;
 use stonegw_constants as k;
@@ -11,118 +11,125 @@
 /// Room that lesser work is leaving on a machine for an urgent job. Nothing else may take it:
 /// else the job would push aside again and again and wait for each.
 #[derive(Debug)]
-pub struct Making {
+pub struct PreemptionPlan {
     pub machine: String,
     pub job: String,
-    until: Ms,
+    expires_at: Millis,
 }
 
 /// Room that is being made on machines, by machine.
-pub type Claims = HashMap<String, Resources>;
+pub type PreemptionClaims = HashMap<String, Resources>;
 
-fn claim(claims: &mut Claims, machine: &str, spec: &JobSpec) {
+fn add_claim(claims: &mut PreemptionClaims, machine: &str, spec: &JobSpec) {
     *claims.entry(machine.to_owned()).or_default() += Resources::of_task(spec);
 }
 
 /// For whose tasks room is looked for, and for how many.
-pub struct RoomWanted<'a> {
-    pub work: &'a Work,
+pub struct PreemptionRequest<'a> {
+    pub job: &'a JobState,
     pub tasks: u32,
     /// What other teams run beyond their guarantees may be stopped as well.
-    pub guarantee: bool,
+    pub reclaims_quota: bool,
 }
 
 /// Room for one task on a machine, after those of the same machine with a lower order.
 #[derive(Debug)]
-pub struct RoomOffer {
+pub struct PreemptionOffer {
     /// ms of run time that are lost, and the weighted wait for the image.
-    pub cost: u64,
+    pub cost_ms: u64,
     pub machine: String,
-    pub order: u32,
+    pub machine_order: u32,
     /// What has to be stopped for it: jobs and attempts.
-    pub stops: Vec<(String, u64)>,
+    pub victims: Vec<(String, u64)>,
 }
 
 /// A task that may be stopped.
 struct Victim {
-    lost_ms: u64,
+    lost_run_ms: u64,
     job: String,
     attempt: u64,
-    takes: Resources,
+    resources: Resources,
 }
 
 /// Run time that is lost if a task is stopped now. A gang is stopped whole; it loses no more than
 /// it takes to save where it can.
-fn lost_ms(now: Ms, p: &Placement, work: &Work) -> u64 {
+fn lost_run_ms(now: Millis, p: &Placement, work: &JobState) -> u64 {
     let ran = p.running_at.map_or(0, |at| now.saturating_sub(at));
     if work.gang.is_none() {
         return ran;
     }
-    let lost = if work.spec.checkpoint_s > 0.0 {
-        ran.min((work.spec.save_s * 1e3) as u64)
+    let lost = if work.spec.checkpoint_interval_s > 0.0 {
+        ran.min((work.spec.checkpoint_duration_s * 1e3) as u64)
     } else {
         ran
     };
-    (lost + k::GANG_RESTART_MS) * u64::from(work.spec.tasks)
+    (lost + k::GANG_RESTART_COST_MS) * u64::from(work.spec.task_count)
 }
 
 impl Leader {
     /// Room that is being made and may still be believed in, by machine.
-    pub fn claims(&mut self, now: Ms) -> Claims {
-        let mut claims = Claims::new();
-        let mut making = std::mem::take(&mut self.sched.making);
+    pub fn refresh_preemption_claims(&mut self, now: Millis) -> PreemptionClaims {
+        let mut claims = PreemptionClaims::new();
+        let mut making = std::mem::take(&mut self.scheduler.preemption_plans);
         making.retain(|made| {
-            let Some(work) = self.works.get(&made.job) else {
+            let Some(work) = self.jobs.get(&made.job) else {
                 return false;
             };
             let machine = self.machines.get(&made.machine);
-            let Some(free) = machine.and_then(|m| self.free_and_leaving(m)) else {
+            let Some(free) = machine.and_then(|m| self.free_or_stopping(m)) else {
                 return false;
             };
             let taken = claims.get(&made.machine).copied().unwrap_or_default();
-            let fits = (free - taken).fits(&Resources::of_task(&work.spec));
-            let waits = !work.pending.is_empty() || work.gang_waits();
-            let believed = fits && now < made.until && waits;
+            let fits = (free - taken).has_capacity_for(&Resources::of_task(&work.spec));
+            let waits = !work.pending_tasks.is_empty() || work.is_gang_waiting();
+            let believed = fits && now < made.expires_at && waits;
             if believed {
-                claim(&mut claims, &made.machine, &work.spec);
+                add_claim(&mut claims, &made.machine, &work.spec);
             }
             believed
         });
-        self.sched.making = making;
+        self.scheduler.preemption_plans = making;
         claims
     }
 
     /// Whether room on the machine is being made for urgent work.
-    pub fn is_made(&self, now: Ms, machine: &str) -> bool {
-        let mut making = self.sched.making.iter();
-        making.any(|m| m.machine == machine && now < m.until)
+    pub fn is_being_cleared(&self, now: Millis, machine: &str) -> bool {
+        let mut making = self.scheduler.preemption_plans.iter();
+        making.any(|m| m.machine == machine && now < m.expires_at)
     }
 
     /// The same, unless it is made for this job.
-    pub fn is_made_for_other(&self, now: Ms, machine: &str, job: &str) -> bool {
-        let mut making = self.sched.making.iter();
-        making.any(|m| m.machine == machine && m.job != job && now < m.until)
+    pub fn is_being_cleared_for_other(&self, now: Millis, machine: &str, job: &str) -> bool {
+        let mut making = self.scheduler.preemption_plans.iter();
+        making.any(|m| m.machine == machine && m.job != job && now < m.expires_at)
     }
 
     /// Stops work of lower priority where that loses least, so that an urgent task can start.
-    pub fn preempt(&mut self, ctx: &Ctx, job: &str, claimed: &mut Claims, guarantee: bool) -> bool {
-        let Some(work) = self.works.get(job) else {
+    pub fn preempt(
+        &mut self,
+        ctx: &LeaderContext,
+        job: &str,
+        claimed: &mut PreemptionClaims,
+        guarantee: bool,
+    ) -> bool {
+        let Some(work) = self.jobs.get(job) else {
             return false;
         };
-        let wanted = RoomWanted {
-            work,
+        let wanted = PreemptionRequest {
+            job: work,
             tasks: 1,
-            guarantee,
+            reclaims_quota: guarantee,
         };
-        let used = self.kept_by_teams(ctx, guarantee);
-        let mut best: Option<RoomOffer> = None;
+        let used = self.team_cpus_after_stops(ctx, guarantee);
+        let mut best: Option<PreemptionOffer> = None;
         for m in self.machines.values() {
-            let kept = guarantee && self.is_kept(&m.id, job) || self.is_reserved(&m.id, job);
-            if kept || !self.usable(ctx, m, work) {
+            let kept = guarantee && self.is_reserved_for_other(&m.id, job)
+                || self.is_gang_reserved_for_other(&m.id, job);
+            if kept || !self.is_eligible(ctx, m, work) {
                 continue;
             }
-            for offer in self.room_offers(ctx, m, &wanted, claimed, &used) {
-                if best.as_ref().is_none_or(|b| offer.cost < b.cost) {
+            for offer in self.preemption_offers(ctx, m, &wanted, claimed, &used) {
+                if best.as_ref().is_none_or(|b| offer.cost_ms < b.cost_ms) {
                     best = Some(offer);
                 }
             }
@@ -130,30 +137,34 @@
         let Some(offer) = best else {
             return false;
         };
-        if !offer.stops.is_empty() {
+        if !offer.victims.is_empty() {
             log::info!(
                 "{job} pushes {} tasks aside on {}, cost {} ms",
-                offer.stops.len(),
+                offer.victims.len(),
                 offer.machine,
-                offer.cost
+                offer.cost_ms
             );
         }
-        self.take_offers(ctx, job, vec![offer], claimed, !guarantee);
+        self.carry_out_preemption(ctx, job, vec![offer], claimed, !guarantee);
         true
     }
 
     /// CPUs that each team keeps, not counting what is being stopped. Only a guarantee asks for it.
-    pub fn kept_by_teams(&self, ctx: &Ctx, guarantee: bool) -> HashMap<String, f64> {
+    pub fn team_cpus_after_stops(
+        &self,
+        ctx: &LeaderContext,
+        guarantee: bool,
+    ) -> HashMap<String, f64> {
         let mut kept = HashMap::new();
         if !guarantee {
             return kept;
         }
-        for team in &ctx.set.teams {
-            kept.insert(team.name.clone(), self.machines.team(&team.name).0);
+        for team in &ctx.settings.teams {
+            kept.insert(team.name.clone(), self.machines.team_usage(&team.name).0);
         }
-        for m in self.machines.with_commands() {
-            for p in m.placements.iter().filter(|p| p.present()) {
-                if let (Some(_), Some(cpus)) = (p.stop, kept.get_mut(p.team.as_str())) {
+        for m in self.machines.with_pending_commands() {
+            for p in m.placements.iter().filter(|p| p.is_present()) {
+                if let (Some(_), Some(cpus)) = (p.stop_grace_s, kept.get_mut(p.team.as_str())) {
                     *cpus -= p.cpus;
                 }
             }
@@ -162,137 +173,137 @@
     }
 
     /// Room for up to so many of a job's tasks on one machine, in the order in which it costs more.
-    pub fn room_offers(
+    pub fn preemption_offers(
         &self,
-        ctx: &Ctx,
+        ctx: &LeaderContext,
         m: &Machine,
-        wanted: &RoomWanted,
-        claimed: &Claims,
+        wanted: &PreemptionRequest,
+        claimed: &PreemptionClaims,
         kept: &HashMap<String, f64>,
-    ) -> Vec<RoomOffer> {
-        let Some(mut free) = self.free_and_leaving(m) else {
+    ) -> Vec<PreemptionOffer> {
+        let Some(mut free) = self.free_or_stopping(m) else {
             return vec![];
         };
         free -= claimed.get(&m.id).copied().unwrap_or_default();
-        let need = Resources::of_task(&wanted.work.spec);
-        let mut victims = self.victims(ctx, m, wanted, kept).into_iter();
+        let need = Resources::of_task(&wanted.job.spec);
+        let mut victims = self.find_victims(ctx, m, wanted, kept).into_iter();
         // An urgent task's wait for its image weighs more than the run time lost.
-        let fetch_s = self.fetch_s(m, &wanted.work.spec);
-        let mut cost = (fetch_s * k::FETCH_WEIGHT * 1e3) as u64;
+        let fetch_s = self.image_fetch_s(m, &wanted.job.spec);
+        let mut cost = (fetch_s * k::IMAGE_FETCH_WEIGHT * 1e3) as u64;
         let mut offers = vec![];
         for order in 0..wanted.tasks {
             let mut stops = vec![];
-            while !free.fits(&need) {
+            while !free.has_capacity_for(&need) {
                 let Some(victim) = victims.next() else {
                     return offers;
                 };
-                free += victim.takes;
-                cost += victim.lost_ms + 1;
+                free += victim.resources;
+                cost += victim.lost_run_ms + 1;
                 stops.push((victim.job, victim.attempt));
             }
             free -= need;
-            offers.push(RoomOffer {
-                cost,
+            offers.push(PreemptionOffer {
+                cost_ms: cost,
                 machine: m.id.clone(),
-                order,
-                stops,
+                machine_order: order,
+                victims: stops,
             });
         }
         offers
     }
 
     /// What is free on a machine, and what is being stopped there.
-    fn free_and_leaving(&self, m: &Machine) -> Option<Resources> {
-        let mut free = self.free(m)?;
+    fn free_or_stopping(&self, m: &Machine) -> Option<Resources> {
+        let mut free = self.free_resources(m)?;
         let leaving = m.placements.iter();
-        for p in leaving.filter(|p| p.present() && p.stop.is_some()) {
-            free += p.takes();
+        for p in leaving.filter(|p| p.is_present() && p.stop_grace_s.is_some()) {
+            free += p.resources();
         }
         Some(free)
     }
 
     /// Tasks on a machine that may be stopped for this work, those that lose least first.
-    fn victims(
+    fn find_victims(
         &self,
-        ctx: &Ctx,
+        ctx: &LeaderContext,
         m: &Machine,
-        wanted: &RoomWanted,
+        wanted: &PreemptionRequest,
         kept: &HashMap<String, f64>,
     ) -> Vec<Victim> {
-        let now = ctx.now.ms;
-        let spec = &wanted.work.spec;
+        let now = ctx.now.monotonic_ms;
+        let spec = &wanted.job.spec;
         let mut victims = vec![];
         let mut going: HashMap<&str, f64> = HashMap::new();
-        for p in m.placements.iter().filter(|p| p.present()) {
-            let Some(work) = self.works.get(&p.job) else {
+        for p in m.placements.iter().filter(|p| p.is_present()) {
+            let Some(work) = self.jobs.get(&p.job) else {
                 continue;
             };
-            if p.stop.is_some() || p.phase == Phase::Saving {
+            if p.stop_grace_s.is_some() || p.phase == Phase::Checkpointing {
                 continue;
             }
             // Beyond lower priority, only what another team runs above its guarantee.
-            let excess = wanted.guarantee
+            let excess = wanted.reclaims_quota
                 && work.spec.team != spec.team
                 && work.spec.kind == JobKind::Array
                 && p.running_at
-                    .is_none_or(|at| now < at + k::GUARANTEE_LOSS_MS)
-                && ctx.set.team(&work.spec.team).is_some_and(|team| {
+                    .is_none_or(|at| now < at + k::QUOTA_RECLAIM_MAX_LOSS_MS)
+                && ctx.settings.team(&work.spec.team).is_some_and(|team| {
                     let cpus = kept.get(team.name.as_str()).copied().unwrap_or(0.0);
                     let going = going.entry(&work.spec.team).or_insert(0.0);
                     *going += p.cpus;
-                    cpus - *going >= team.cpus - k::EPSILON
+                    cpus - *going >= team.quota_cpus - k::RESOURCE_EPSILON
                 });
             if work.spec.priority < spec.priority || excess {
                 victims.push(Victim {
-                    lost_ms: lost_ms(now, p, work),
+                    lost_run_ms: lost_run_ms(now, p, work),
                     job: p.job.clone(),
                     attempt: p.attempt,
-                    takes: p.takes(),
+                    resources: p.resources(),
                 });
             }
         }
-        victims.sort_by_key(|v| v.lost_ms);
+        victims.sort_by_key(|v| v.lost_run_ms);
         victims
     }
 
     /// Stops what the offers name. `keep`: the room goes to nothing else for a while.
-    pub fn take_offers(
+    pub fn carry_out_preemption(
         &mut self,
-        ctx: &Ctx,
+        ctx: &LeaderContext,
         job: &str,
-        offers: Vec<RoomOffer>,
-        claimed: &mut Claims,
+        offers: Vec<PreemptionOffer>,
+        claimed: &mut PreemptionClaims,
         keep: bool,
     ) {
-        let Some(spec) = self.works.get(job).map(|w| w.spec.clone()) else {
+        let Some(spec) = self.jobs.get(job).map(|w| w.spec.clone()) else {
             return;
         };
         for offer in offers {
-            claim(claimed, &offer.machine, &spec);
+            add_claim(claimed, &offer.machine, &spec);
             if keep {
-                self.sched.making.push(Making {
+                self.scheduler.preemption_plans.push(PreemptionPlan {
                     machine: offer.machine.clone(),
                     job: job.to_owned(),
-                    until: ctx.now.ms + k::MAKING_ROOM_MS,
+                    expires_at: ctx.now.monotonic_ms + k::PREEMPTION_PLAN_TIMEOUT_MS,
                 });
             }
-            self.clear_queue(&offer.machine);
-            for (victim, attempt) in &offer.stops {
-                self.stop_for_room(ctx, &offer.machine, victim, *attempt);
+            self.requeue_machine_queue(&offer.machine);
+            for (victim, attempt) in &offer.victims {
+                self.stop_victim(ctx, &offer.machine, victim, *attempt);
             }
         }
     }
 
     /// Stops one task, or the whole gang that it belongs to.
-    fn stop_for_room(&mut self, ctx: &Ctx, machine: &str, job: &str, attempt: u64) {
-        let Some(work) = self.works.get(job) else {
+    fn stop_victim(&mut self, ctx: &LeaderContext, machine: &str, job: &str, attempt: u64) {
+        let Some(work) = self.jobs.get(job) else {
             return;
         };
         if work.gang.is_some() {
             return self.stop_gang(ctx, job);
         }
-        let grace_s = if work.spec.checkpoint_s > 0.0 {
-            work.spec.save_s + k::WIND_DOWN_MARGIN_S
+        let grace_s = if work.spec.checkpoint_interval_s > 0.0 {
+            work.spec.checkpoint_duration_s + k::STOP_GRACE_MARGIN_S
         } else {
             0.0
         };
@@ -300,46 +311,60 @@
             return;
         };
         for p in m.placements.iter_mut().filter(|p| p.attempt == attempt) {
-            p.stop = Some(grace_s);
+            p.stop_grace_s = Some(grace_s);
         }
     }
 
     /// Work within its team's guarantee that found no room: other teams return what they borrow,
     /// the tasks that have run least.
-    pub fn reclaim(&mut self, ctx: &Ctx) {
-        let mut claimed = Claims::new();
+    pub fn reclaim_quota(&mut self, ctx: &LeaderContext) {
+        let mut claimed = PreemptionClaims::new();
         let mut extra: HashMap<String, (f64, f64)> = HashMap::new();
         let waiting: Vec<(String, usize)> = self
-            .works
+            .jobs
             .iter()
-            .filter(|(_, w)| !w.ending && ctx.now.ms >= w.retry_at && w.spec.deadline_s.is_some())
+            .filter(|(_, w)| {
+                !w.end_write_in_flight
+                    && ctx.now.monotonic_ms >= w.retry_at
+                    && w.spec.deadline_s.is_some()
+            })
             .filter(|(_, w)| !w.failures.job_is_broken())
             .filter(|(_, w)| {
-                let age = ctx.now.wall_ms.saturating_sub(w.at);
-                age > k::GUARANTEE_WAIT_MS && w.due_s(ctx.now.wall_ms).is_some_and(|d| d > 0.0)
+                let age = ctx.now.wall_ms.saturating_sub(w.submitted_at_ms);
+                age > k::QUOTA_RECLAIM_WAIT_MS
+                    && w.seconds_to_deadline(ctx.now.wall_ms)
+                        .is_some_and(|d| d > 0.0)
             })
-            .map(|(id, w)| (id.clone(), w.fresh()))
+            .map(|(id, w)| (id.clone(), w.unpruned_count()))
             .filter(|(_, n)| *n > 0)
             .collect();
-        let kind = self.machines.values().find(|m| m.life == Life::Up);
-        let kind = kind.map_or(String::new(), |m| m.kind.clone());
+        let kind = self
+            .machines
+            .values()
+            .find(|m| m.lifecycle == Lifecycle::Ready);
+        let kind = kind.map_or(String::new(), |m| m.machine_type.clone());
         // A part of the fleet at a time: what is stopped in vain must stay little.
-        let fleet = self.machines.len() / k::GUARANTEE_STEP_PART;
-        let mut left = k::GUARANTEE_STEP.max(fleet);
+        let fleet = self.machines.len() / k::QUOTA_RECLAIM_MACHINES_DIVISOR;
+        let mut left = k::QUOTA_RECLAIM_MIN_TASKS.max(fleet);
         for (job, n) in waiting {
             // What the threshold holds back anyway must not push others aside for nothing.
-            let Some(w) = self.works.get(&job) else {
+            let Some(w) = self.jobs.get(&job) else {
                 continue;
             };
-            let due = w.due_s(ctx.now.wall_ms).unwrap_or(0.0);
-            let runs = self.sched.runs(&w.spec, &kind);
-            if runs.cumulative().by(0.0, due) < self.sched.pruner.deferring {
+            let due = w.seconds_to_deadline(ctx.now.wall_ms).unwrap_or(0.0);
+            let runs = self.scheduler.run_time_histogram(&w.spec, &kind);
+            if runs.cumulative().on_time_probability_after(0.0, due)
+                < self.scheduler.pruner.deferring_threshold
+            {
                 continue;
             }
             let spec = w.spec.clone();
             for _ in 0..n {
                 let e = extra.get(&spec.team).copied().unwrap_or_default();
-                if left == 0 || !self.guaranteed(ctx, &spec, e) || !self.allows(ctx, &spec, e) {
+                if left == 0
+                    || !self.within_quota(ctx, &spec, e)
+                    || !self.within_limit(ctx, &spec, e)
+                {
                     break;
                 }
                 left -= 1;
--- a/crates/control/src/records.rs
+++ b/crates/control/src/records.rs
@@ -10,36 +10,36 @@
 //! | `v/<node>` | that node | the release that it runs; earlier releases never read it |
 use base64::{engine::general_purpose::STANDARD_NO_PAD, Engine};
 use serde::{Deserialize, Serialize};
-use stonegw_wire::msg::{json_len, JobSpec, Report};
+use stonegw_wire::msg::{json_size_bytes, Heartbeat, JobSpec};
 
-pub const COMMON: &str = "c/";
-pub const LEADER: &str = "c/leader";
-pub const JOBS: &str = "c/j/";
-pub const FAR: &str = "c/r/";
-pub const DONE: &str = "d/";
-pub const MACHINES: &str = "m/";
-pub const RELEASES: &str = "v/";
+pub const REPLICATED_PREFIX: &str = "c/";
+pub const LEADER_KEY: &str = "c/leader";
+pub const JOBS_PREFIX: &str = "c/j/";
+pub const RELAYED_HEARTBEATS_PREFIX: &str = "c/r/";
+pub const RESULT_CHUNKS_PREFIX: &str = "d/";
+pub const MACHINE_GROUPS_PREFIX: &str = "m/";
+pub const VERSIONS_PREFIX: &str = "v/";
 
 pub fn job_key(job: &str) -> String {
-    format!("{JOBS}{job}")
+    format!("{JOBS_PREFIX}{job}")
 }
-pub fn done_key(job: &str, chunk: u32) -> String {
-    format!("{DONE}{job}/{chunk}")
+pub fn result_chunk_key(job: &str, chunk: u32) -> String {
+    format!("{RESULT_CHUNKS_PREFIX}{job}/{chunk}")
 }
-pub fn far_key(node: &str, slot: usize) -> String {
-    format!("{FAR}{node}/{slot}")
+pub fn relayed_heartbeats_key(node: &str, slot: usize) -> String {
+    format!("{RELAYED_HEARTBEATS_PREFIX}{node}/{slot}")
 }
-pub fn shard_key(shard: u32) -> String {
-    format!("{MACHINES}{shard}")
+pub fn machine_group_key(shard: u32) -> String {
+    format!("{MACHINE_GROUPS_PREFIX}{shard}")
 }
 
-pub fn release_key(node: &str) -> String {
-    format!("{RELEASES}{node}")
+pub fn version_key(node: &str) -> String {
+    format!("{VERSIONS_PREFIX}{node}")
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum JobEnd {
     Done,
     Cancelled,
 }
@@ -48,38 +48,40 @@
 pub struct JobRecord {
     pub tasks: u32,
     /// Time of day of the submission, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub submitted_at_ms: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub end: Option<End>,
+    pub end: Option<JobEnd>,
     /// How long its tasks ran against the estimate: a later leader learns from it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seen: Option<Seen>,
+    #[serde(rename = "seen")]
+    pub observed_run_times: Option<ObservedRunTimes>,
 }
 
 impl JobRecord {
-    pub fn submitted(spec: &JobSpec, at: u64) -> JobRecord {
+    pub fn submitted(spec: &JobSpec, submitted_at_ms: u64) -> JobRecord {
         JobRecord {
-            tasks: spec.tasks,
-            at,
+            tasks: spec.task_count,
+            submitted_at_ms,
             spec: Some(spec.clone()),
             end: None,
-            seen: None,
+            observed_run_times: None,
         }
     }
 
     pub fn cancelled(&self) -> JobRecord {
         JobRecord {
-            end: Some(End::Cancelled),
+            end: Some(JobEnd::Cancelled),
             ..self.clone()
         }
     }
 
     /// The record as it is stored: without the description of a job that has ended, if it would be larger
     /// than a value may be.
-    pub fn within(self, value_bytes: usize) -> JobRecord {
-        if self.end.is_some() && json_len(&self) > value_bytes {
+    pub fn fit_within(self, value_bytes: usize) -> JobRecord {
+        if self.end.is_some() && json_size_bytes(&self) > value_bytes {
             JobRecord { spec: None, ..self }
         } else {
             self
@@ -88,9 +90,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ObservedRunTimes {
     pub class: String,
-    pub ratio: f64,
+    #[serde(rename = "ratio")]
+    pub run_to_estimate_ratio: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -104,35 +107,40 @@
 /// Anything under `c/`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Common {
+pub enum ReplicatedRecord {
     Job(Box<JobRecord>),
     Leader(LeaderRecord),
-    Far(Box<FarRecord>),
+    RelayedHeartbeats(Box<RelayedHeartbeatsRecord>),
 }
 
 /// Workers' reports on their way to a leader that their node can't reach: many in one record,
 /// since a cut may part a hundred machines from the leader and changes are scarce.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FarRecord {
-    pub via: String,
-    pub reports: Vec<Report>,
+pub struct RelayedHeartbeatsRecord {
+    #[serde(rename = "via")]
+    pub relay_node: String,
+    #[serde(rename = "reports")]
+    pub heartbeats: Vec<Heartbeat>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DoneRecord {
-    pub bits: String,
+pub struct ResultChunkRecord {
+    #[serde(rename = "bits")]
+    pub done_bitmap: String,
     /// Runs observed in the whole job and their mean, s: a new leader goes on from them.
     #[serde(default)]
-    pub runs: u32,
+    #[serde(rename = "runs")]
+    pub observed_runs: u32,
     #[serde(default)]
-    pub run_s: f64,
+    #[serde(rename = "run_s")]
+    pub mean_run_s: f64,
 }
 
 /// What may be on a group of machines: one record for many, since changes a second are scarce.
 /// Self-contained, so that a new leader can count it whatever became of the jobs. Rows instead
 /// of named fields keep it short.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ShardRecord {
+pub struct MachineGroupRecord {
     pub teams: Vec<String>,
     pub jobs: Vec<JobRow>,
     pub machines: Vec<MachineRow>,
@@ -158,22 +166,23 @@
 
 /// The release that a node runs. Later releases must keep this field: nodes of this one read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReleaseRecord {
-    pub release: u64,
+pub struct VersionRecord {
+    #[serde(rename = "release")]
+    pub version: u64,
 }
 /// The name of that field.
-pub const RELEASE_FIELD: &str = "release";
+pub const VERSION_FIELD: &str = "release";
 
 /// Anything that is written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Value {
+pub enum StoredRecord {
     Leader(LeaderRecord),
     Job(Box<JobRecord>),
-    Shard(ShardRecord),
-    Done(DoneRecord),
-    Far(Box<FarRecord>),
-    Release(ReleaseRecord),
+    MachineGroup(MachineGroupRecord),
+    ResultChunk(ResultChunkRecord),
+    RelayedHeartbeats(Box<RelayedHeartbeatsRecord>),
+    Version(VersionRecord),
 }
 
 /// Which tasks are done.
@@ -224,7 +233,7 @@
     format!("{job}/{index}")
 }
 
-pub fn parse_task(task: &str) -> Option<(&str, u32)> {
+pub fn parse_task_name(task: &str) -> Option<(&str, u32)> {
     let (job, index) = task.rsplit_once('/')?;
     Some((job, index.parse().ok()?))
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,29 +1,31 @@
 //! Every node's copy of what stands under `c/`: the jobs and who leads.
-use crate::records::{parse_task, Common, End, JobRecord, LeaderRecord, JOBS, LEADER};
+use crate::records::{
+    parse_task_name, JobEnd, JobRecord, LeaderRecord, ReplicatedRecord, JOBS_PREFIX, LEADER_KEY,
+};
 use std::collections::{BTreeSet, HashMap};
-use stonegw_wire::msg::{Change, Changes, Command, Entry, Report, TaskState};
+use stonegw_wire::msg::{Command, Entry, Heartbeat, TaskState, WatchEvent, WatchResponse};
 
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct ReplicatedJob {
     pub record: JobRecord,
-    pub version: u64,
+    pub revision: u64,
 }
 
 #[derive(Debug, Default)]
 pub struct Replica {
-    pub jobs: HashMap<String, Job>,
+    pub jobs: HashMap<String, ReplicatedJob>,
     /// The leader key with its stamp, which is the term.
     pub leader: Option<(LeaderRecord, u64)>,
     /// The highest term or removal of a leader key seen.
-    leader_version: u64,
+    leader_revision: u64,
     pub highest_term: u64,
     pub revision: u64,
     /// Jobs that changed and that the leader has not looked at yet.
-    pub changed: Vec<String>,
+    pub changed_jobs: Vec<String>,
     /// Reports handed on by nodes that can't reach the leader.
-    pub reports_via_state: Vec<Report>,
+    pub relayed_heartbeats: Vec<Heartbeat>,
     /// All cancellations known, by the stamp under which each is stored.
-    cancelled: BTreeSet<(u64, String)>,
+    cancellations: BTreeSet<(u64, String)>,
     /// Those that were not handed to the other nodes yet.
     pub unsent_cancellations: Vec<(u64, String)>,
     /// Cancellations of jobs that we have not read yet, with their stamps.
@@ -32,25 +34,25 @@
 
 impl Replica {
     /// Answers may be late and out of order: a key only ever moves to a higher version.
-    fn put(&mut self, key: &str, value: Common, version: u64) {
+    fn put_record(&mut self, key: &str, value: ReplicatedRecord, version: u64) {
         match value {
-            Common::Leader(l) if key == LEADER => {
-                if version > self.leader_version {
-                    self.leader_version = version;
+            ReplicatedRecord::Leader(l) if key == LEADER_KEY => {
+                if version > self.leader_revision {
+                    self.leader_revision = version;
                     self.highest_term = self.highest_term.max(version);
                     self.leader = Some((l, version));
                 }
             }
-            Common::Job(record) => {
-                if let Some(id) = key.strip_prefix(JOBS) {
+            ReplicatedRecord::Job(record) => {
+                if let Some(id) = key.strip_prefix(JOBS_PREFIX) {
                     self.put_job(id, *record, version);
                 }
             }
             // The order of reports is in themselves; a late one is told by its number.
-            Common::Far(f) => {
-                self.reports_via_state.extend(f.reports);
+            ReplicatedRecord::RelayedHeartbeats(f) => {
+                self.relayed_heartbeats.extend(f.heartbeats);
             }
-            Common::Leader(_) => log::warn!("unexpected record at {key}"),
+            ReplicatedRecord::Leader(_) => log::warn!("unexpected record at {key}"),
         }
     }
 
@@ -63,7 +65,7 @@
             (record, version) = (record.cancelled(), stamp);
         }
         let known = self.jobs.get(id);
-        if known.is_some_and(|j| j.version >= version) {
+        if known.is_some_and(|j| j.revision >= version) {
             return;
         }
         // An end is for ever; nothing we write takes one back.
@@ -74,16 +76,22 @@
             }
         }
         let before = known.is_some_and(|j| j.record.end.is_some());
-        if record.end == Some(End::Cancelled) && !before {
-            self.cancelled.insert((version, id.to_owned()));
+        if record.end == Some(JobEnd::Cancelled) && !before {
+            self.cancellations.insert((version, id.to_owned()));
             self.unsent_cancellations.push((version, id.to_owned()));
         }
-        self.jobs.insert(id.to_owned(), Job { record, version });
-        self.changed.push(id.to_owned());
+        self.jobs.insert(
+            id.to_owned(),
+            ReplicatedJob {
+                record,
+                revision: version,
+            },
+        );
+        self.changed_jobs.push(id.to_owned());
     }
 
     /// Another node knows of a stored cancellation.
-    pub fn told_cancelled(&mut self, id: &str, stamp: u64) {
+    pub fn apply_announced_cancellation(&mut self, id: &str, stamp: u64) {
         match self.jobs.get(id) {
             Some(j) if j.record.end.is_some() => {}
             Some(j) => {
@@ -98,7 +106,7 @@
                     .insert(id.to_owned(), stamp)
                     .is_none()
                 {
-                    self.cancelled.insert((stamp, id.to_owned()));
+                    self.cancellations.insert((stamp, id.to_owned()));
                     self.unsent_cancellations.push((stamp, id.to_owned()));
                 }
             }
@@ -106,65 +114,69 @@
     }
 
     /// Cancellations known that a reader of everything up to a revision may not know.
-    pub fn cancelled_since(&self, revision: u64) -> impl Iterator<Item = &(u64, String)> {
-        self.cancelled
+    pub fn cancellations_since(&self, revision: u64) -> impl Iterator<Item = &(u64, String)> {
+        self.cancellations
             .range((revision.saturating_add(1), String::new())..)
     }
 
     /// What ends the cancelled tasks in a report.
-    pub fn stops(&self, report: &Report) -> Vec<Command> {
+    pub fn stop_commands(&self, report: &Heartbeat) -> Vec<Command> {
         let cancelled = |task: &str| {
-            let job = parse_task(task).map_or("", |t| t.0);
-            self.end_of(job) == Some(End::Cancelled) || self.unread_cancellations.contains_key(job)
+            let job = parse_task_name(task).map_or("", |t| t.0);
+            self.end_of(job) == Some(JobEnd::Cancelled)
+                || self.unread_cancellations.contains_key(job)
         };
         let live = report.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        live.filter(|t| cancelled(&t.task))
+        live.filter(|t| cancelled(&t.task_id))
             .map(|t| Command::Stop {
-                task: t.task.clone(),
+                task_id: t.task_id.clone(),
                 attempt: t.attempt,
-                grace_s: 0.0,
+                grace_period_s: 0.0,
             })
             .collect()
     }
 
-    fn delete(&mut self, key: &str, version: u64) {
-        if key == LEADER && version > self.leader_version {
-            self.leader_version = version;
+    fn delete_record(&mut self, key: &str, version: u64) {
+        if key == LEADER_KEY && version > self.leader_revision {
+            self.leader_revision = version;
             self.leader = None;
         }
     }
 
-    pub fn list_page(&mut self, items: Vec<Entry<Common>>) {
+    pub fn apply_page(&mut self, items: Vec<Entry<ReplicatedRecord>>) {
         for e in items {
-            self.put(&e.key, e.value, e.version);
+            self.put_record(&e.key, e.value, e.revision);
         }
     }
 
-    pub fn apply(&mut self, changes: Changes<Common>) {
+    pub fn apply_changes(&mut self, changes: WatchResponse<ReplicatedRecord>) {
         for event in changes.events {
             match event {
-                Change::Put {
+                WatchEvent::Put {
                     key,
                     value,
-                    version,
-                } => self.put(&key, value, version),
-                Change::Delete { key, version } => self.delete(&key, version),
+                    revision: version,
+                } => self.put_record(&key, value, version),
+                WatchEvent::Delete {
+                    key,
+                    revision: version,
+                } => self.delete_record(&key, version),
             }
         }
         self.revision = self.revision.max(changes.revision);
     }
 
     /// A transaction of ours made us leader.
-    pub fn we_lead(&mut self, record: LeaderRecord, term: u64) {
-        self.put(LEADER, Common::Leader(record), term);
+    pub fn record_own_election(&mut self, record: LeaderRecord, term: u64) {
+        self.put_record(LEADER_KEY, ReplicatedRecord::Leader(record), term);
     }
 
     /// A listing without a leader key, taken whole, proves there is none.
-    pub fn no_leader_at(&mut self, revision: u64) {
-        self.delete(LEADER, revision);
+    pub fn clear_leader(&mut self, revision: u64) {
+        self.delete_record(LEADER_KEY, revision);
     }
 
-    pub fn end_of(&self, job: &str) -> Option<End> {
+    pub fn end_of(&self, job: &str) -> Option<JobEnd> {
         self.jobs.get(job).and_then(|j| j.record.end)
     }
 
--- a/crates/control/src/replica_tests.rs
+++ b/crates/control/src/replica_tests.rs
@@ -8,11 +8,11 @@
         nonce: 1,
         lease: 1,
     };
-    r.we_lead(l.clone(), 10);
-    r.delete(LEADER, 8);
+    r.record_own_election(l.clone(), 10);
+    r.delete_record(LEADER_KEY, 8);
     assert_eq!(r.term(), Some(10));
-    r.delete(LEADER, 11);
+    r.delete_record(LEADER_KEY, 11);
     assert_eq!(r.term(), None);
-    r.we_lead(l, 10);
+    r.record_own_election(l, 10);
     assert_eq!(r.term(), None);
 }
--- a/crates/control/src/resources.rs
+++ b/crates/control/src/resources.rs
@@ -31,23 +31,23 @@
     }
 
     /// Whether `need` fits into this much room, rounding aside.
-    pub fn fits(&self, need: &Resources) -> bool {
-        self.cpus + k::EPSILON >= need.cpus
-            && self.gpus + k::EPSILON >= need.gpus
-            && self.memory_gb + k::EPSILON >= need.memory_gb
+    pub fn has_capacity_for(&self, need: &Resources) -> bool {
+        self.cpus + k::RESOURCE_EPSILON >= need.cpus
+            && self.gpus + k::RESOURCE_EPSILON >= need.gpus
+            && self.memory_gb + k::RESOURCE_EPSILON >= need.memory_gb
     }
 
     /// How many times `need` fits into this much room.
-    pub fn times(&self, need: &Resources) -> u32 {
-        self.ratio(need)
+    pub fn count_fitting(&self, need: &Resources) -> u32 {
+        self.fit_ratio(need)
             .clamp(0.0, f64::from(stonegw_wire::msg::MAX_TASKS)) as u32
     }
 
     /// How many times `need` fits, in parts and without an upper limit.
-    pub fn ratio(&self, need: &Resources) -> f64 {
+    pub fn fit_ratio(&self, need: &Resources) -> f64 {
         let ratio = |have: f64, need: f64| {
-            if need > k::EPSILON {
-                (have + k::EPSILON) / need
+            if need > k::RESOURCE_EPSILON {
+                (have + k::RESOURCE_EPSILON) / need
             } else {
                 f64::MAX
             }
--- a/crates/control/src/schedule/mapping.rs
+++ b/crates/control/src/schedule/mapping.rs
@@ -1,41 +1,41 @@
 //! One mapping event: deadline work goes to the machines where it has the best chance.
-use super::queues::{Robustness, Seat};
-use super::{fetch_s_per_gb, Rank};
-use crate::leader::{immediate, zone_allows, Ctx, Leader};
+use super::queues::{MachineQueue, OnTimeAverage};
+use super::{image_fetch_s_per_gb, PlacementRank};
+use crate::leader::{is_immediate, zone_allows, Leader, LeaderContext};
 use crate::ledger::Machine;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
 use stonegw_constants as k;
-use stonegw_sched::curve::Curve;
-use stonegw_sched::pam::{soonest, Offer, Start};
+use stonegw_sched::curve::TimeDistribution;
+use stonegw_sched::pam::{earliest_finish, EstimatedStart, PlacementScore};
 use stonegw_wire::msg::JobSpec;
 
 /// Run times of one job on one machine type, as a mapping uses them.
-struct Runs {
-    run: Curve,
-    cumulative: Curve,
-    mean: f64,
+struct RunTimeEstimate {
+    distribution: TimeDistribution,
+    cumulative: TimeDistribution,
+    mean_s: f64,
 }
 
 /// A job with waiting tasks, standing for each of them.
-struct Candidate {
+struct DeadlineCandidate {
     spec: JobSpec,
-    due: f64,
-    left: usize,
-    rank: Rank,
+    due_s: f64,
+    remaining_tasks: usize,
+    rank: PlacementRank,
     /// Its image's number in this mapping.
-    image: usize,
+    image_id: usize,
     /// By machine type.
-    runs: Vec<Option<Runs>>,
-    best: Option<Best>,
+    run_times_by_type: Vec<Option<RunTimeEstimate>>,
+    best_placement: Option<BestPlacement>,
 }
 
 /// Numbers for the images that waiting jobs need: each is compared with all machines'.
 #[derive(Default)]
-struct Images(HashMap<String, usize>);
+struct ImageIds(HashMap<String, usize>);
 
-impl Images {
-    fn number(&mut self, image: &str) -> usize {
+impl ImageIds {
+    fn get_or_assign(&mut self, image: &str) -> usize {
         if let Some(n) = self.0.get(image) {
             return *n;
         }
@@ -44,156 +44,175 @@
         n
     }
 
-    fn on(&self, m: &Machine) -> Vec<usize> {
-        let known = m.images.iter();
+    fn ids_on_machine(&self, m: &Machine) -> Vec<usize> {
+        let known = m.cached_images.iter();
         known.filter_map(|(i, _)| self.0.get(i).copied()).collect()
     }
 }
 
-impl Seat {
+impl MachineQueue {
     /// Takes over what a placement changes of the machine, as far as offers depend on it.
-    fn look(&mut self, m: &Machine, images: &Images, rate: f64) {
-        self.images = images.on(m);
-        self.fetch_s_per_gb = fetch_s_per_gb(m, rate);
+    fn refresh_images(&mut self, m: &Machine, images: &ImageIds, rate: f64) {
+        self.image_ids = images.ids_on_machine(m);
+        self.image_fetch_s_per_gb = image_fetch_s_per_gb(m, rate);
     }
 
-    fn fetch_s(&self, c: &Candidate) -> f64 {
-        if self.images.contains(&c.image) {
+    fn image_fetch_s(&self, c: &DeadlineCandidate) -> f64 {
+        if self.image_ids.contains(&c.image_id) {
             0.0
         } else {
-            self.fetch_s_per_gb * c.spec.image_gb
+            self.image_fetch_s_per_gb * c.spec.image_size_gb
         }
     }
 }
 
 #[derive(Clone, Copy)]
-struct Best {
-    seat: usize,
+struct BestPlacement {
+    queue_index: usize,
     /// The seat's changes when the offer was made.
-    at: u32,
-    offer: Offer,
+    queue_change_count: u32,
+    score: PlacementScore,
 }
 
 /// What one mapping works on.
-struct Mapping {
-    seats: Vec<Seat>,
-    candidates: Vec<Candidate>,
-    images: Images,
+struct DeadlinePass {
+    machine_queues: Vec<MachineQueue>,
+    candidates: Vec<DeadlineCandidate>,
+    image_ids: ImageIds,
     /// Tasks with a smaller chance are deferred.
-    threshold: f64,
+    deferring_threshold: f64,
     /// CPUs and cards that this mapping holds for teams, besides what is placed.
-    extra: HashMap<String, (f64, f64)>,
+    queued_by_team: HashMap<String, (f64, f64)>,
 }
 
 impl Leader {
     /// One mapping event.
-    pub(super) fn map(&mut self, ctx: &Ctx) {
-        self.count_misses(ctx.now.wall_ms);
-        let mut robustness = Robustness::default();
-        let mut seats = self.seats(ctx, &mut robustness);
-        let mut images = Images::default();
-        let mut candidates = self.candidates(ctx, &seats, &mut images);
+    pub(super) fn place_deadline_jobs(&mut self, ctx: &LeaderContext) {
+        self.record_deadline_misses(ctx.now.wall_ms);
+        let mut robustness = OnTimeAverage::default();
+        let mut seats = self.machine_queues(ctx, &mut robustness);
+        let mut images = ImageIds::default();
+        let mut candidates = self.deadline_candidates(ctx, &seats, &mut images);
         for s in &mut seats {
             if let Some(m) = self.machines.get(&s.id) {
-                s.look(m, &images, self.catalog.types[s.kind].fetch_gb_per_s);
+                s.refresh_images(
+                    m,
+                    &images,
+                    self.catalog.machine_types[s.machine_type_index].fetch_gb_per_s,
+                );
             }
         }
         for c in &mut candidates {
-            c.best = self.best_offer(&mut seats, c);
+            c.best_placement = self.best_placement(&mut seats, c);
         }
-        let threshold = self.adjust_threshold(&seats, &candidates, robustness.mean());
-        let mut mapping = Mapping {
-            seats,
+        let threshold = self.adjust_deferring_threshold(&seats, &candidates, robustness.mean());
+        let mut mapping = DeadlinePass {
+            machine_queues: seats,
             candidates,
-            images,
-            threshold,
-            extra: HashMap::new(),
+            image_ids: images,
+            deferring_threshold: threshold,
+            queued_by_team: HashMap::new(),
         };
-        while self.map_next(ctx, &mut mapping).is_continue() {}
+        while self.place_next_candidate(ctx, &mut mapping).is_continue() {}
     }
 
     /// Misses since the last mapping feed the toggle.
-    fn count_misses(&mut self, wall_ms: u64) {
+    fn record_deadline_misses(&mut self, wall_ms: u64) {
         let mut misses = 0;
-        for w in self.works.values_mut() {
-            if !w.missed && w.due_s(wall_ms).is_some_and(|d| d <= 0.0) {
-                w.missed = true;
+        for w in self.jobs.values_mut() {
+            if !w.deadline_missed && w.seconds_to_deadline(wall_ms).is_some_and(|d| d <= 0.0) {
+                w.deadline_missed = true;
                 // That a job fails everywhere tells nothing of the load.
                 if w.failures.job_is_broken() {
                     continue;
                 }
-                misses += (w.spec.tasks - w.done_count) as usize;
+                misses += (w.spec.task_count - w.done_count) as usize;
             }
         }
-        let was = self.sched.pruner.toggle;
-        self.sched.pruner.count_misses(misses);
-        if was != self.sched.pruner.toggle {
-            log::info!("pruning toggle {:?} -> {:?}", was, self.sched.pruner.toggle);
+        let was = self.scheduler.pruner.overload_toggle;
+        self.scheduler.pruner.record_misses(misses);
+        if was != self.scheduler.pruner.overload_toggle {
+            log::info!(
+                "pruning toggle {:?} -> {:?}",
+                was,
+                self.scheduler.pruner.overload_toggle
+            );
         }
     }
 
     /// Adjusts the deferring threshold to what waits and what there is room for, and returns it.
-    fn adjust_threshold(
+    fn adjust_deferring_threshold(
         &mut self,
-        seats: &[Seat],
-        candidates: &[Candidate],
+        seats: &[MachineQueue],
+        candidates: &[DeadlineCandidate],
         robustness: f64,
     ) -> f64 {
-        let waiting: usize = candidates.iter().map(|c| c.left).sum();
+        let waiting: usize = candidates.iter().map(|c| c.remaining_tasks).sum();
         let cpus = candidates.iter().map(|c| c.spec.cpus);
         let smallest = cpus.fold(f64::MAX, f64::min);
         let free_slots: usize = seats
             .iter()
             .map(|s| {
-                let now_free = (s.queue.cpus.max(0.0) / smallest.max(0.1)) as usize;
-                now_free + k::HELD.saturating_sub(s.queue.held)
+                let now_free = (s.forecast.free_cpus.max(0.0) / smallest.max(0.1)) as usize;
+                now_free + k::MAX_QUEUED_TASKS_PER_MACHINE.saturating_sub(s.forecast.queued_count)
             })
             .sum();
-        let pruner = &mut self.sched.pruner;
-        let old = pruner.deferring;
+        let pruner = &mut self.scheduler.pruner;
+        let old = pruner.deferring_threshold;
         let passing = candidates
             .iter()
-            .filter(|c| c.best.as_ref().is_some_and(|b| b.offer.chance >= old))
-            .map(|c| c.left)
+            .filter(|c| {
+                c.best_placement
+                    .as_ref()
+                    .is_some_and(|b| b.score.on_time_probability >= old)
+            })
+            .map(|c| c.remaining_tasks)
             .sum();
-        pruner.adjust(waiting, free_slots, passing, robustness);
-        pruner.deferring
+        pruner.adjust_deferring_threshold(waiting, free_slots, passing, robustness);
+        pruner.deferring_threshold
     }
 
     /// Puts the next task on a machine or in its queue, or looks again for its best machine.
-    fn map_next(&mut self, ctx: &Ctx, mapping: &mut Mapping) -> ControlFlow<()> {
+    fn place_next_candidate(
+        &mut self,
+        ctx: &LeaderContext,
+        mapping: &mut DeadlinePass,
+    ) -> ControlFlow<()> {
         let Some(next) = self.next_candidate(ctx, mapping) else {
             return ControlFlow::Break(());
         };
-        let seats = &mut mapping.seats;
+        let seats = &mut mapping.machine_queues;
         let c = &mut mapping.candidates[next];
-        let Some(best) = c.best else {
+        let Some(best) = c.best_placement else {
             return ControlFlow::Break(());
         };
         // Offers only get worse while tasks are put on queues: so it is enough to look
         // again at the one that would be next.
-        let zoned = c.spec.one_zone || c.spec.spread;
-        if seats[best.seat].changes != best.at || zoned && c.left > 0 && !self.fits(seats, c) {
-            c.best = self.best_offer(seats, c);
+        let zoned = c.spec.requires_single_zone || c.spec.spreads_across_zones;
+        if seats[best.queue_index].change_count != best.queue_change_count
+            || zoned && c.remaining_tasks > 0 && !self.is_best_zone_allowed(seats, c)
+        {
+            c.best_placement = self.best_placement(seats, c);
             return ControlFlow::Continue(());
         }
-        self.assign(mapping, next, best.seat)
+        self.assign_next_task(mapping, next, best.queue_index)
     }
 
     /// Of the candidates of the highest rank that their teams' limits leave room for, the one
     /// whose next task would finish soonest.
-    fn next_candidate(&self, ctx: &Ctx, mapping: &mut Mapping) -> Option<usize> {
-        let mut rank: Option<Rank> = None;
+    fn next_candidate(&self, ctx: &LeaderContext, mapping: &mut DeadlinePass) -> Option<usize> {
+        let mut rank: Option<PlacementRank> = None;
         let mut open = vec![false; mapping.candidates.len()];
         for (i, c) in mapping.candidates.iter_mut().enumerate() {
-            let deferred = |b: &Best| b.offer.chance < mapping.threshold;
-            if c.left == 0 || c.best.as_ref().is_none_or(deferred) {
+            let deferred =
+                |b: &BestPlacement| b.score.on_time_probability < mapping.deferring_threshold;
+            if c.remaining_tasks == 0 || c.best_placement.as_ref().is_none_or(deferred) {
                 continue;
             }
-            let e = mapping.extra.get(&c.spec.team).copied();
+            let e = mapping.queued_by_team.get(&c.spec.team).copied();
             let e = e.unwrap_or_default();
-            if self.allows(ctx, &c.spec, e) && !self.team_kept(&c.spec) {
-                c.rank.1 = self.guaranteed(ctx, &c.spec, e);
+            if self.within_limit(ctx, &c.spec, e) && !self.is_team_reserved_for_other(&c.spec) {
+                c.rank.1 = self.within_quota(ctx, &c.spec, e);
                 open[i] = true;
                 rank = rank.max(Some(c.rank));
             }
@@ -204,108 +223,136 @@
             .iter()
             .enumerate()
             .filter(|(i, c)| open[*i] && c.rank == rank)
-            .filter_map(|(i, c)| Some((i, c.best.as_ref()?.offer)));
-        soonest(offers).map(|(i, _)| i)
+            .filter_map(|(i, c)| Some((i, c.best_placement.as_ref()?.score)));
+        earliest_finish(offers).map(|(i, _)| i)
     }
 
     /// Places the candidate's next task there if there is room now, or holds it in the queue.
-    fn assign(&mut self, mapping: &mut Mapping, candidate: usize, seat: usize) -> ControlFlow<()> {
+    fn assign_next_task(
+        &mut self,
+        mapping: &mut DeadlinePass,
+        candidate: usize,
+        seat: usize,
+    ) -> ControlFlow<()> {
         let c = &mut mapping.candidates[candidate];
-        let seat = &mut mapping.seats[seat];
+        let seat = &mut mapping.machine_queues[seat];
         let (cpus, gpus, memory) = (c.spec.cpus, c.spec.gpus, c.spec.memory_gb);
-        let Some(start) = seat.queue.start(cpus, gpus, memory) else {
-            c.best = None;
+        let Some(start) = seat.forecast.estimate_start(cpus, gpus, memory) else {
+            c.best_placement = None;
             return ControlFlow::Continue(());
         };
-        let (Some(w), Some(m)) = (self.works.get(&c.spec.id), self.machines.get(&seat.id)) else {
+        let (Some(w), Some(m)) = (self.jobs.get(&c.spec.id), self.machines.get(&seat.id)) else {
             return ControlFlow::Break(());
         };
-        let Some(index) = w.next_fresh() else {
-            c.left = 0;
+        let Some(index) = w.next_unpruned() else {
+            c.remaining_tasks = 0;
             return ControlFlow::Continue(());
         };
-        c.left -= 1;
-        let Some(runs) = &c.runs[seat.kind] else {
+        c.remaining_tasks -= 1;
+        let Some(runs) = &c.run_times_by_type[seat.machine_type_index] else {
             return ControlFlow::Continue(());
         };
         let end = match &start.wait {
-            None => runs.run.shift(self.fetch_s(m, &c.spec)),
-            Some(at) => at.curve.convolve(&runs.run),
+            None => runs.distribution.shift(self.image_fetch_s(m, &c.spec)),
+            Some(at) => at.distribution.convolve(&runs.distribution),
         };
         let (id, job) = (seat.id.clone(), c.spec.id.clone());
         if start.wait.is_none() {
-            if !self.place(&id, &job, index) {
+            if !self.place_task(&id, &job, index) {
                 return ControlFlow::Continue(());
             }
         } else {
-            let e = mapping.extra.entry(c.spec.team.clone()).or_default();
+            let e = mapping
+                .queued_by_team
+                .entry(c.spec.team.clone())
+                .or_default();
             *e = (e.0 + cpus, e.1 + gpus);
-            self.hold(&id, job, index);
+            self.enqueue(&id, job, index);
         }
-        seat.queue.push(&start, end, cpus, gpus, memory);
-        seat.changes += 1;
+        seat.forecast.add_task(&start, end, cpus, gpus, memory);
+        seat.change_count += 1;
         if let Some(m) = self.machines.get(&id) {
-            let rate = self.catalog.types[seat.kind].fetch_gb_per_s;
-            seat.look(m, &mapping.images, rate);
+            let rate = self.catalog.machine_types[seat.machine_type_index].fetch_gb_per_s;
+            seat.refresh_images(m, &mapping.image_ids, rate);
         }
         ControlFlow::Continue(())
     }
 
     /// Puts a waiting task in a machine's queue.
-    fn hold(&mut self, machine: &str, job: String, index: u32) {
-        if let Some(w) = self.works.get_mut(&job) {
-            w.take(index);
+    fn enqueue(&mut self, machine: &str, job: String, index: u32) {
+        if let Some(w) = self.jobs.get_mut(&job) {
+            w.remove_pending(index);
         }
         if let Some(mut m) = self.machines.edit(machine) {
-            m.held.push((job, index));
+            m.queued.push((job, index));
         }
     }
 
     /// Whether a job's best machine is still in a zone where the job may go.
-    fn fits(&self, seats: &[Seat], c: &Candidate) -> bool {
-        let place = c.best.and_then(|b| self.machines.get(&seats[b.seat].id));
-        let work = self.works.get(&c.spec.id);
+    fn is_best_zone_allowed(&self, seats: &[MachineQueue], c: &DeadlineCandidate) -> bool {
+        let place = c
+            .best_placement
+            .and_then(|b| self.machines.get(&seats[b.queue_index].id));
+        let work = self.jobs.get(&c.spec.id);
         matches!((place, work), (Some(m), Some(w)) if zone_allows(&self.machines, w, &m.zone))
     }
 
     /// What waits and may still be in time, a job standing for its like tasks.
-    fn candidates(&mut self, ctx: &Ctx, seats: &[Seat], images: &mut Images) -> Vec<Candidate> {
-        let now = ctx.now.ms;
-        let mut present = vec![false; self.catalog.types.len()];
+    fn deadline_candidates(
+        &mut self,
+        ctx: &LeaderContext,
+        seats: &[MachineQueue],
+        images: &mut ImageIds,
+    ) -> Vec<DeadlineCandidate> {
+        let now = ctx.now.monotonic_ms;
+        let mut present = vec![false; self.catalog.machine_types.len()];
         for s in seats {
-            present[s.kind] = true;
+            present[s.machine_type_index] = true;
         }
         let mut out = vec![];
-        for w in self.works.values() {
-            if immediate(w) || w.ending || w.startable(now) == 0 || w.pending.is_empty() {
+        for w in self.jobs.values() {
+            if is_immediate(w)
+                || w.end_write_in_flight
+                || w.start_limit(now) == 0
+                || w.pending_tasks.is_empty()
+            {
                 continue;
             }
-            let Some(due) = w.due_s(ctx.now.wall_ms).filter(|d| *d > 0.0) else {
+            let Some(due) = w.seconds_to_deadline(ctx.now.wall_ms).filter(|d| *d > 0.0) else {
                 continue;
             };
-            let left = w.fresh().min(w.startable(now));
+            let left = w.unpruned_count().min(w.start_limit(now));
             if left == 0 {
                 continue;
             }
-            let sched = &mut self.sched;
-            let runs = self.catalog.types.iter().zip(&present).map(|(t, here)| {
-                let suits = w.spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-                (*here && suits).then(|| {
-                    let r = sched.runs(&w.spec, &t.name);
-                    Runs {
-                        run: r.run().clone(),
-                        cumulative: r.cumulative().clone(),
-                        mean: r.mean_s(),
-                    }
-                })
-            });
-            out.push(Candidate {
-                due,
-                left,
+            let sched = &mut self.scheduler;
+            let runs = self
+                .catalog
+                .machine_types
+                .iter()
+                .zip(&present)
+                .map(|(t, here)| {
+                    let suits = w
+                        .spec
+                        .machine_types
+                        .as_ref()
+                        .is_none_or(|l| l.contains(&t.name));
+                    (*here && suits).then(|| {
+                        let r = sched.run_time_histogram(&w.spec, &t.name);
+                        RunTimeEstimate {
+                            distribution: r.distribution().clone(),
+                            cumulative: r.cumulative().clone(),
+                            mean_s: r.mean_s(),
+                        }
+                    })
+                });
+            out.push(DeadlineCandidate {
+                due_s: due,
+                remaining_tasks: left,
                 rank: (w.spec.priority, false),
-                image: images.number(&w.spec.image),
-                runs: runs.collect(),
-                best: None,
+                image_id: images.get_or_assign(&w.spec.image),
+                run_times_by_type: runs.collect(),
+                best_placement: None,
                 spec: w.spec.clone(),
             });
         }
@@ -313,57 +360,70 @@
     }
 
     /// The machine with the best chance for the job's next task.
-    fn best_offer(&self, seats: &mut [Seat], c: &Candidate) -> Option<Best> {
-        let w = self.works.get(&c.spec.id)?;
+    fn best_placement(
+        &self,
+        seats: &mut [MachineQueue],
+        c: &DeadlineCandidate,
+    ) -> Option<BestPlacement> {
+        let w = self.jobs.get(&c.spec.id)?;
         let spec = &c.spec;
-        let mut best: Option<Best> = None;
+        let mut best: Option<BestPlacement> = None;
         for (i, seat) in seats.iter_mut().enumerate() {
-            let Some(runs) = &c.runs[seat.kind] else {
+            let Some(runs) = &c.run_times_by_type[seat.machine_type_index] else {
                 continue;
             };
-            if seat.spot && !spec.spot {
+            if seat.spot && !spec.allows_spot {
                 continue;
             }
-            let start = seat.queue.start(spec.cpus, spec.gpus, spec.memory_gb);
-            let Some(Start { wait, .. }) = start else {
+            let start = seat
+                .forecast
+                .estimate_start(spec.cpus, spec.gpus, spec.memory_gb);
+            let Some(EstimatedStart { wait, .. }) = start else {
                 continue;
             };
-            let fetch = seat.fetch_s(c);
+            let fetch = seat.image_fetch_s(c);
             // What no wait can better; the full sum is made only where it can matter.
-            let (earliest, mean) = wait.as_ref().map_or((0.0, 0.0), |w| (w.earliest, w.mean));
-            let bound = runs.cumulative.by(fetch + earliest, c.due);
-            let finish = mean + fetch + runs.mean;
+            let (earliest, mean) = wait
+                .as_ref()
+                .map_or((0.0, 0.0), |w| (w.earliest_s, w.mean_s));
+            let bound = runs
+                .cumulative
+                .on_time_probability_after(fetch + earliest, c.due_s);
+            let finish = mean + fetch + runs.mean_s;
             let bound = if wait.is_some() {
-                bound + k::CHANCE_STEP
+                bound + k::CHANCE_TOLERANCE
             } else {
                 bound
             };
             if best
                 .as_ref()
-                .is_some_and(|b| !b.offer.beatable(bound, finish))
+                .is_some_and(|b| !b.score.can_be_beaten_by(bound, finish))
             {
                 continue;
             }
-            let offer = Offer {
+            let offer = PlacementScore {
                 // The image comes while the task waits, or after: a bound is enough here.
-                chance: match &wait {
-                    None => runs.cumulative.by(fetch, c.due),
-                    Some(at) => at.curve.chance(&runs.cumulative, c.due - fetch),
+                on_time_probability: match &wait {
+                    None => runs.cumulative.on_time_probability_after(fetch, c.due_s),
+                    Some(at) => at
+                        .distribution
+                        .on_time_probability(&runs.cumulative, c.due_s - fetch),
                 },
-                finish,
-                price: seat.price,
-                spare: seat.queue.cpus - spec.cpus,
+                expected_finish_s: finish,
+                price_per_cpu: seat.price_per_cpu,
+                cpu_headroom: seat.forecast.free_cpus - spec.cpus,
             };
-            let better = best.as_ref().is_none_or(|b| offer.beats(&b.offer));
+            let better = best.as_ref().is_none_or(|b| offer.is_better_than(&b.score));
             let suits = || {
                 let m = self.machines.get(&seat.id);
-                m.is_some_and(|m| self.suits(m, w)) && !self.is_kept(&seat.id, &spec.id)
+                m.is_some_and(|m| self.meets_constraints(m, w))
+                    && !self.is_reserved_for_other(&seat.id, &spec.id)
             };
             if better && suits() {
-                best = Some(Best {
-                    seat: i,
-                    at: seat.changes,
-                    offer,
+                best = Some(BestPlacement {
+                    queue_index: i,
+                    queue_change_count: seat.change_count,
+                    score: offer,
                 });
             }
         }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -7,26 +7,26 @@
     /// Its name in submissions.
     pub name: String,
     /// CPUs it is guaranteed.
-    pub cpus: f64,
+    pub quota_cpus: f64,
     /// CPUs its tasks may use at any time.
-    pub cpus_max: f64,
+    pub limit_cpus: f64,
     /// Cards it is guaranteed.
-    pub gpus: f64,
+    pub quota_gpus: f64,
     /// Cards its tasks may use at any time.
-    pub gpus_max: f64,
+    pub limit_gpus: f64,
 }
 
 /// What is promised of a class besides its jobs' own deadlines: its arrays start, or are done, within
 /// so long.
 #[derive(Clone, Debug)]
-pub struct Promise {
+pub struct ClassSlo {
     pub class: String,
-    pub what: Promised,
+    pub milestone: SloMilestone,
     pub within_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promised {
+pub enum SloMilestone {
     Start,
     Finish,
 }
@@ -35,53 +35,53 @@
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Tasks of the usual urgent size kept free.
-    pub spare_tasks: f64,
+    pub headroom_tasks: f64,
     /// Boot times that an idle machine is kept.
-    pub idle_boots: f64,
+    pub idle_retention_boots: f64,
     /// Part of the time to a deadline the fleet is sized for.
-    pub slack_use: f64,
+    pub slack_fraction: f64,
     /// Part of the room that arriving deadline work takes, as of late, that is kept for it.
-    pub inflow_use: f64,
+    pub arrival_rate_fraction: f64,
     /// ms the leader key outlives its last renewal.
-    pub leader_ttl_ms: u64,
+    pub leader_lease_ttl_ms: u64,
     /// ms between mappings.
-    pub map_ms: u64,
+    pub scheduling_interval_ms: u64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            spare_tasks: k::SPARE_TASKS,
-            idle_boots: k::IDLE_BOOTS,
-            slack_use: k::SLACK_USE,
-            inflow_use: k::INFLOW_USE,
-            leader_ttl_ms: k::LEADER_TTL_MS,
-            map_ms: k::MAP_MS,
+            headroom_tasks: k::HEADROOM_TASKS,
+            idle_retention_boots: k::IDLE_RETENTION_BOOTS,
+            slack_fraction: k::SLACK_FRACTION,
+            arrival_rate_fraction: k::ARRIVAL_RATE_FRACTION,
+            leader_lease_ttl_ms: k::LEADER_LEASE_TTL_MS,
+            scheduling_interval_ms: k::SCHEDULING_INTERVAL_MS,
         }
     }
 }
 
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub node: String,
+    pub node_name: String,
     pub zone: String,
     pub peers: Vec<String>,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
-    pub promises: Vec<Promise>,
-    pub report_s: f64,
-    pub lease_s: f64,
-    pub cancel_s: f64,
+    pub class_slos: Vec<ClassSlo>,
+    pub heartbeat_interval_s: f64,
+    pub worker_lease_s: f64,
+    pub cancellation_deadline_s: f64,
     /// A gang's task exits if its gang is not complete after so long, s.
-    pub gang_wait_s: f64,
+    pub gang_start_timeout_s: f64,
     /// A gang's tasks notice the loss of one within so long, s; stops must reach all within it.
-    pub gang_peer_s: f64,
-    pub state_rps: f64,
-    pub state_write_rps: f64,
-    pub value_bytes: usize,
-    pub txn_ops: usize,
-    pub cloud_rps: f64,
-    pub list_lag_s: f64,
+    pub gang_loss_detection_s: f64,
+    pub store_requests_per_s: f64,
+    pub store_writes_per_s: f64,
+    pub max_value_bytes: usize,
+    pub max_transaction_writes: usize,
+    pub cloud_requests_per_s: f64,
+    pub cloud_listing_lag_s: f64,
     pub max_sockets: usize,
     pub tuning: Tuning,
 }
@@ -93,64 +93,64 @@
 
     /// Seconds after their submission by which tasks of a class are to be done, as far as that is
     /// promised; each runs for `run` seconds.
-    pub fn promised(&self, class: &str, run: f64) -> impl Iterator<Item = f64> + '_ {
+    pub fn slo_deadlines(&self, class: &str, run: f64) -> impl Iterator<Item = f64> + '_ {
         let class = class.to_owned();
-        let of_class = self.promises.iter().filter(move |p| p.class == class);
-        of_class.map(move |p| match p.what {
-            Promised::Start => p.within_s + run,
-            Promised::Finish => p.within_s,
+        let of_class = self.class_slos.iter().filter(move |p| p.class == class);
+        of_class.map(move |p| match p.milestone {
+            SloMilestone::Start => p.within_s + run,
+            SloMilestone::Finish => p.within_s,
         })
     }
 }
 
 /// A rate budget that refills steadily.
 #[derive(Clone, Debug)]
-pub struct Bucket {
-    rate: f64,
+pub struct TokenBucket {
+    tokens_per_s: f64,
     burst: f64,
-    level: f64,
-    at: u64,
+    tokens: f64,
+    refilled_at: u64,
 }
 
-impl Bucket {
-    pub fn new(rate: f64, burst: f64) -> Bucket {
-        Bucket {
-            rate,
+impl TokenBucket {
+    pub fn new(tokens_per_s: f64, burst: f64) -> TokenBucket {
+        TokenBucket {
+            tokens_per_s,
             burst,
-            level: burst,
-            at: 0,
+            tokens: burst,
+            refilled_at: 0,
         }
     }
 
     /// Units a second.
-    pub fn rate(&self) -> f64 {
-        self.rate
+    pub fn tokens_per_s(&self) -> f64 {
+        self.tokens_per_s
     }
 
-    pub fn level(&mut self, now: u64) -> f64 {
-        let passed = now.saturating_sub(self.at) as f64 / 1e3;
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.at = self.at.max(now);
-        self.level
+    pub fn available(&mut self, now: u64) -> f64 {
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e3;
+        self.tokens = (self.tokens + passed * self.tokens_per_s).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens
     }
 
-    pub fn take(&mut self, now: u64, n: f64) -> bool {
-        let ok = self.level(now) >= n;
+    pub fn try_take(&mut self, now: u64, n: f64) -> bool {
+        let ok = self.available(now) >= n;
         if ok {
-            self.level -= n;
+            self.tokens -= n;
         }
         ok
     }
 
     /// For what must go out in any case; later takers wait for it.
-    pub fn force(&mut self, now: u64, n: f64) {
-        self.level(now);
-        self.level -= n;
+    pub fn take_unconditionally(&mut self, now: u64, n: f64) {
+        self.available(now);
+        self.tokens -= n;
     }
 
     pub fn set_rate(&mut self, rate: f64, burst: f64) {
-        self.rate = rate;
+        self.tokens_per_s = rate;
         self.burst = burst;
-        self.level = self.level.min(burst);
+        self.tokens = self.tokens.min(burst);
     }
 }
--- a/crates/control/tests/production.rs
+++ b/crates/control/tests/production.rs
@@ -19,6 +19,6 @@
 
 #[test]
 fn the_largest_record_is_near_the_limit() {
-    let bytes = stonegw_wire::msg::json_len(&records::largest_shard());
+    let bytes = stonegw_wire::msg::json_size_bytes(&records::largest_machine_group());
     assert!((8_000..=8_192).contains(&bytes), "{bytes}");
 }
--- a/crates/net/src/admit.rs
+++ b/crates/net/src/admit.rs
@@ -5,48 +5,48 @@
 /// Grows by one for every limit's worth of requests answered in the usual time; shrinks by a
 /// tenth when one took several times as long.
 #[derive(Debug)]
-pub struct Admission {
+pub struct AdmissionLimiter {
     limit: f64,
-    in_progress: usize,
-    usual_ms: f64,
-    cut_at: u64,
+    requests_in_progress: usize,
+    baseline_latency_ms: f64,
+    next_decrease_at: u64,
     /// Questions that were turned away and not asked in vain before, since when.
-    shed: HashMap<String, u64>,
+    rejected_since: HashMap<String, u64>,
 }
 
-impl Default for Admission {
+impl Default for AdmissionLimiter {
     fn default() -> Self {
-        Admission {
-            limit: k::ADMIT_START,
-            in_progress: 0,
-            usual_ms: 0.0,
-            cut_at: 0,
-            shed: HashMap::new(),
+        AdmissionLimiter {
+            limit: k::ADMISSION_LIMIT_INITIAL,
+            requests_in_progress: 0,
+            baseline_latency_ms: 0.0,
+            next_decrease_at: 0,
+            rejected_since: HashMap::new(),
         }
     }
 }
 
-impl Admission {
+impl AdmissionLimiter {
     /// `question`: what a poll asks about. Questions leave a part of the limit to submissions and
     /// cancellations, however many there are; one turned away for long comes in whatever the limit.
-    pub fn enter(&mut self, now: u64, question: Option<&str>) -> bool {
-        let since = question.and_then(|q| self.shed.get(q)).copied();
-        let due = since.is_some_and(|at| now >= at + k::ADMIT_FAIR_MS);
-        let part = question.map_or(1.0, |_| k::ADMIT_QUESTIONS_PART);
-        let ok = (self.in_progress as f64) < self.limit * part || due;
+    pub fn try_admit(&mut self, now: u64, question: Option<&str>) -> bool {
+        let since = question.and_then(|q| self.rejected_since.get(q)).copied();
+        let due = since.is_some_and(|at| now >= at + k::ADMISSION_MAX_STARVATION_MS);
+        let part = question.map_or(1.0, |_| k::ADMISSION_STATUS_QUERY_FRACTION);
+        let ok = (self.requests_in_progress as f64) < self.limit * part || due;
         if ok {
-            self.in_progress += 1;
+            self.requests_in_progress += 1;
         }
         match question {
-            Some(q) if ok => drop(self.shed.remove(q)),
+            Some(q) if ok => drop(self.rejected_since.remove(q)),
             Some(q) if since.is_none() => {
-                if self.shed.len() >= k::ADMIT_SHED {
+                if self.rejected_since.len() >= k::ADMISSION_MAX_TRACKED_REJECTIONS {
                     // Whoever has not asked again for so long asks elsewhere.
-                    let fair = k::ADMIT_FAIR_MS;
-                    self.shed.retain(|_, at| now < *at + 8 * fair);
+                    let fair = k::ADMISSION_MAX_STARVATION_MS;
+                    self.rejected_since.retain(|_, at| now < *at + 8 * fair);
                 }
-                if self.shed.len() < k::ADMIT_SHED {
-                    self.shed.insert(q.to_owned(), now);
+                if self.rejected_since.len() < k::ADMISSION_MAX_TRACKED_REJECTIONS {
+                    self.rejected_since.insert(q.to_owned(), now);
                 }
             }
             _ => {}
@@ -55,28 +55,32 @@
     }
 
     /// A request left unanswered: its time says nothing.
-    pub fn abandon(&mut self) {
-        self.in_progress = self.in_progress.saturating_sub(1);
+    pub fn release_unmeasured(&mut self) {
+        self.requests_in_progress = self.requests_in_progress.saturating_sub(1);
     }
 
     /// Counts a request as answered at `now` after `took_ms`, both ms, and adjusts the limit.
-    pub fn leave(&mut self, now: u64, took_ms: u64) {
-        self.abandon();
+    pub fn record_completion(&mut self, now: u64, took_ms: u64) {
+        self.release_unmeasured();
         let took = took_ms as f64;
-        if self.usual_ms == 0.0 {
-            self.usual_ms = took;
+        if self.baseline_latency_ms == 0.0 {
+            self.baseline_latency_ms = took;
         }
-        let slow = took > (self.usual_ms * k::ADMIT_TOLERANCE).max(k::ADMIT_FLOOR_MS);
+        let slow = took
+            > (self.baseline_latency_ms * k::ADMISSION_LATENCY_TOLERANCE)
+                .max(k::ADMISSION_LATENCY_FLOOR_MS);
         if slow {
             // Requests that waited together tell of one delay: one cut for all of them.
-            if now >= self.cut_at {
-                self.limit = (self.limit * k::ADMIT_CUT).max(k::ADMIT_MIN);
-                self.cut_at = now + took_ms;
+            if now >= self.next_decrease_at {
+                self.limit =
+                    (self.limit * k::ADMISSION_DECREASE_FACTOR).max(k::ADMISSION_LIMIT_MIN);
+                self.next_decrease_at = now + took_ms;
             }
         } else {
-            self.limit = (self.limit + 1.0 / self.limit).min(k::ADMIT_MAX);
+            self.limit = (self.limit + 1.0 / self.limit).min(k::ADMISSION_LIMIT_MAX);
         }
-        self.usual_ms += (took - self.usual_ms) * k::ADMIT_WEIGHT;
+        self.baseline_latency_ms +=
+            (took - self.baseline_latency_ms) * k::ADMISSION_BASELINE_WEIGHT;
     }
 
     /// The present limit on requests in progress.
--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -1,88 +1,88 @@
 //! One connection: buffers, and what it is for.
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
-use stonegw_constants::READ_CHUNK;
+use stonegw_constants::READ_CHUNK_BYTES;
 
 #[derive(Debug, PartialEq)]
-pub(crate) enum Role {
+pub(crate) enum ConnectionKind {
     /// A user or worker; `busy` while a request of theirs is with the core.
     Server {
-        busy: bool,
-        close: bool,
+        request_in_progress: bool,
+        close_after_reply: bool,
     },
     /// A call of ours, or an idle connection kept for the next one.
     Client {
-        addr: String,
-        call: Option<u64>,
+        remote_addr: String,
+        call_id: Option<u64>,
     },
-    PeerIn,
-    PeerOut(usize),
+    PeerInbound,
+    PeerOutbound(usize),
 }
 
-pub(crate) struct Conn {
+pub(crate) struct Connection {
     pub stream: TcpStream,
-    pub role: Role,
-    pub connecting: bool,
+    pub kind: ConnectionKind,
+    pub is_connecting: bool,
     pub input: Vec<u8>,
     pub output: Vec<u8>,
     /// Bytes of the present request that went out.
-    pub sent: usize,
+    pub bytes_sent: usize,
     pub wants_write: bool,
     /// The connection, or the request that has begun, is given up then.
     pub deadline: u64,
     /// When the present request came in; 0: it does not count towards the admission limit.
-    pub asked_at: u64,
-    pub counted: bool,
+    pub request_received_at: u64,
+    pub counts_toward_admission: bool,
 }
 
 #[derive(Debug, PartialEq)]
-pub(crate) enum Got {
-    Data,
+pub(crate) enum ReadOutcome {
+    Open,
     Closed,
 }
 
-impl Conn {
-    pub fn new(stream: TcpStream, role: Role, deadline: u64) -> Conn {
-        Conn {
+impl Connection {
+    pub fn new(stream: TcpStream, kind: ConnectionKind, deadline: u64) -> Connection {
+        Connection {
             stream,
-            role,
-            connecting: false,
+            kind,
+            is_connecting: false,
             input: vec![],
             output: vec![],
-            sent: 0,
+            bytes_sent: 0,
             wants_write: false,
             deadline,
-            asked_at: 0,
-            counted: false,
+            request_received_at: 0,
+            counts_toward_admission: false,
         }
     }
 
     /// Reads what is there.
-    pub fn fill(&mut self, limit: usize) -> Got {
-        let mut chunk = [0u8; READ_CHUNK];
+    pub fn read_available(&mut self, limit: usize) -> ReadOutcome {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Got::Closed,
+                Ok(0) => return ReadOutcome::Closed,
                 Ok(n) => {
                     self.input.extend_from_slice(&chunk[..n]);
                     if n < chunk.len() || self.input.len() > limit {
-                        return Got::Data;
+                        return ReadOutcome::Open;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Got::Data,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::Open,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Got::Closed,
+                Err(_) => return ReadOutcome::Closed,
             }
         }
     }
 
     /// Writes what it can. False: the connection is broken.
-    pub fn drain(&mut self) -> bool {
+    pub fn write_pending(&mut self) -> bool {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
                 Ok(0) => return false,
                 Ok(n) => {
-                    self.sent += n;
+                    self.bytes_sent += n;
                     self.output.drain(..n);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -6,5 +6,5 @@
 mod event;
 mod net;
 
-pub use event::{Failed, Link, NetEvent};
-pub use net::Net;
+pub use event::{CallFailure, NetworkEvent, PeerLink};
+pub use net::EventLoop;
--- a/crates/net/src/net/client.rs
+++ b/crates/net/src/net/client.rs
@@ -1,18 +1,18 @@
 //! Calls to workers, the cloud and the state service, over kept or new connections.
-use super::socket::connect;
-use super::Net;
-use crate::conn::{Conn, Got, Role};
-use crate::event::{Failed, NetEvent};
+use super::socket::start_connect;
+use super::EventLoop;
+use crate::conn::{Connection, ConnectionKind, ReadOutcome};
+use crate::event::{CallFailure, NetworkEvent};
 use stonegw_constants as k;
 use stonegw_wire::http::{self, HttpError};
 
-impl Net {
+impl EventLoop {
     /// Starts call `call`, which fails if it has no answer after `wait` ms.
     ///
     /// `vital`: to the state service or the cloud, which calls to workers must never keep from a
     /// socket.
     #[allow(clippy::too_many_arguments)]
-    pub fn call(
+    pub fn start_call(
         &mut self,
         call: u64,
         addr: &str,
@@ -22,99 +22,115 @@
         body: &[u8],
         wait: u64,
     ) {
-        let now = self.now();
-        let kept = self.idle.get_mut(addr).and_then(Vec::pop);
-        let Some(key) = kept.or_else(|| self.open_call(addr, vital)) else {
-            return self.failed(call, Failed::NotSent);
+        let now = self.now_ms();
+        let kept = self.idle_connections.get_mut(addr).and_then(Vec::pop);
+        let Some(key) = kept.or_else(|| self.connect_for_call(addr, vital)) else {
+            return self.report_call_failure(call, CallFailure::NotSent);
         };
-        let Some(c) = self.conns.get_mut(&key) else {
-            return self.failed(call, Failed::NotSent);
+        let Some(c) = self.connections.get_mut(&key) else {
+            return self.report_call_failure(call, CallFailure::NotSent);
         };
-        c.role = Role::Client {
-            addr: addr.into(),
-            call: Some(call),
+        c.kind = ConnectionKind::Client {
+            remote_addr: addr.into(),
+            call_id: Some(call),
         };
         c.deadline = now + wait;
-        c.sent = 0;
+        c.bytes_sent = 0;
         c.input.clear();
         http::write_request(&mut c.output, method, addr, path, body);
-        self.calls.insert(call, key);
-        if !self.conns[&key].connecting {
-            self.unsent.push(key);
+        self.calls_in_progress.insert(call, key);
+        if !self.connections[&key].is_connecting {
+            self.unwritten_connections.push(key);
         }
     }
 
     /// Starts a new connection for a call, if there is a socket left for it.
-    fn open_call(&mut self, addr: &str, vital: bool) -> Option<usize> {
-        if !self.make_room(if vital { 0 } else { k::VITAL_SOCKETS }) {
+    fn connect_for_call(&mut self, addr: &str, vital: bool) -> Option<usize> {
+        if !self.ensure_socket_available(if vital {
+            0
+        } else {
+            k::RESERVED_SERVICE_SOCKETS
+        }) {
             log::warn!("no socket left for {addr}");
             return None;
         }
-        let stream = match connect(addr) {
+        let stream = match start_connect(addr) {
             Ok(stream) => stream,
             Err(e) => {
                 log::debug!("no connection to {addr}: {e}");
                 return None;
             }
         };
-        let role = Role::Client {
-            addr: addr.into(),
-            call: None,
+        let role = ConnectionKind::Client {
+            remote_addr: addr.into(),
+            call_id: None,
         };
-        let mut c = Conn::new(stream, role, 0);
-        c.connecting = true;
-        self.add(c)
+        let mut c = Connection::new(stream, role, 0);
+        c.is_connecting = true;
+        self.register_connection(c)
     }
 
     /// Reports that call `call` failed.
-    pub fn failed(&mut self, call: u64, why: Failed) {
-        self.out.push(NetEvent::CallDone {
-            call,
+    pub fn report_call_failure(&mut self, call: u64, why: CallFailure) {
+        self.pending_events.push(NetworkEvent::CallDone {
+            call_id: call,
             result: Err(why),
         });
     }
 
     /// Parses the answer to the call on this connection, after a read with the outcome `got`.
-    pub(super) fn answered(&mut self, key: usize, got: Got) {
-        let now = self.now();
-        let Some(c) = self.conns.get_mut(&key) else {
+    pub(super) fn handle_response(&mut self, key: usize, got: ReadOutcome) {
+        let now = self.now_ms();
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
-        let Role::Client { addr, call } = &mut c.role else {
+        let ConnectionKind::Client {
+            remote_addr: addr,
+            call_id: call,
+        } = &mut c.kind
+        else {
             return;
         };
         let Some(id) = *call else {
             // Closed, or unasked bytes: of no use any more.
-            return self.close(key);
+            return self.close_connection(key);
         };
-        match http::parse_response(&c.input, k::MAX_ANSWER) {
+        match http::parse_response(&c.input, k::MAX_RESPONSE_BYTES) {
             Ok(Some((response, taken))) => {
-                let keep = !response.close && taken == c.input.len() && got == Got::Data;
+                let keep = !response.connection_close
+                    && taken == c.input.len()
+                    && got == ReadOutcome::Open;
                 c.input = vec![];
                 *call = None;
                 let addr = addr.clone();
-                self.calls.remove(&id);
+                self.calls_in_progress.remove(&id);
                 let result = Ok((response.status, response.body));
-                self.out.push(NetEvent::CallDone { call: id, result });
+                self.pending_events.push(NetworkEvent::CallDone {
+                    call_id: id,
+                    result,
+                });
                 if keep {
-                    self.idle.entry(addr).or_default().push(key);
-                    c.deadline = now + k::IDLE_CALL_MS;
+                    self.idle_connections.entry(addr).or_default().push(key);
+                    c.deadline = now + k::IDLE_CLIENT_CONNECTION_TIMEOUT_MS;
                 } else {
-                    self.close(key);
+                    self.close_connection(key);
                 }
             }
-            Ok(None) if got == Got::Data => {}
-            Ok(None) => self.close(key),
+            Ok(None) if got == ReadOutcome::Open => {}
+            Ok(None) => self.close_connection(key),
             Err(HttpError::BodyTooLarge) => {
-                log::warn!("{addr} answered with more than {} bytes", k::MAX_ANSWER);
+                log::warn!(
+                    "{addr} answered with more than {} bytes",
+                    k::MAX_RESPONSE_BYTES
+                );
                 *call = None;
-                self.calls.remove(&id);
-                self.failed(id, Failed::TooLarge);
-                self.close(key);
+                self.calls_in_progress.remove(&id);
+                self.report_call_failure(id, CallFailure::ResponseTooLarge);
+                self.close_connection(key);
             }
             Err(e) => {
                 log::warn!("{addr} answered with a malformed head: {e:?}");
-                self.close(key);
+                self.close_connection(key);
             }
         }
     }
--- a/crates/net/src/net/connection.rs
+++ b/crates/net/src/net/connection.rs
@@ -1,12 +1,12 @@
 //! Registers, writes and closes connections.
-use super::Net;
-use crate::conn::{Conn, Role};
-use crate::event::{Failed, Link, NetEvent};
+use super::EventLoop;
+use crate::conn::{Connection, ConnectionKind};
+use crate::event::{CallFailure, NetworkEvent, PeerLink};
 use polling::{Event, PollMode};
 use stonegw_constants as k;
 
 /// The events to wait for: reads, and writes if `writes`.
-fn interest(key: usize, writes: bool) -> Event {
+fn poll_interest(key: usize, writes: bool) -> Event {
     if writes {
         Event::all(key)
     } else {
@@ -14,12 +14,12 @@
     }
 }
 
-impl Net {
+impl EventLoop {
     /// Registers a connection with the poller and returns its key.
-    pub(super) fn add(&mut self, c: Conn) -> Option<usize> {
-        let key = self.next;
-        self.next += 1;
-        let interest = interest(key, c.connecting);
+    pub(super) fn register_connection(&mut self, c: Connection) -> Option<usize> {
+        let key = self.next_key;
+        self.next_key += 1;
+        let interest = poll_interest(key, c.is_connecting);
         // Safe: `close` takes the stream out of the poller before it is dropped.
         let added = unsafe {
             self.poller
@@ -30,78 +30,90 @@
             return None;
         }
         let mut c = c;
-        c.wants_write = c.connecting;
-        self.conns.insert(key, c);
+        c.wants_write = c.is_connecting;
+        self.connections.insert(key, c);
         Some(key)
     }
 
     /// Closes a connection and reports what ends with it.
-    pub(super) fn close(&mut self, key: usize) {
-        let Some(c) = self.conns.remove(&key) else {
+    pub(super) fn close_connection(&mut self, key: usize) {
+        let Some(c) = self.connections.remove(&key) else {
             return;
         };
         let _ = self.poller.delete(&c.stream);
-        match c.role {
-            Role::Server { .. } => {
-                self.accept_paused = false;
-                if c.counted {
-                    self.admission.abandon();
+        match c.kind {
+            ConnectionKind::Server { .. } => {
+                self.is_accept_paused = false;
+                if c.counts_toward_admission {
+                    self.admission.release_unmeasured();
                 }
             }
-            Role::Client { addr, call } => {
-                let why = if c.connecting || c.sent == 0 {
-                    Failed::NotSent
+            ConnectionKind::Client {
+                remote_addr: addr,
+                call_id: call,
+            } => {
+                let why = if c.is_connecting || c.bytes_sent == 0 {
+                    CallFailure::NotSent
                 } else {
-                    Failed::Unknown
+                    CallFailure::OutcomeUnknown
                 };
-                self.client_closed(key, &addr, call, why);
+                self.forget_client_connection(key, &addr, call, why);
             }
-            Role::PeerOut(i) => {
-                self.peer_links[i] = Err(self.now() + k::PEER_REDIAL_MS);
-                if !c.connecting {
-                    self.out.push(NetEvent::LinkDown(Link::Out(i)));
+            ConnectionKind::PeerOutbound(i) => {
+                self.peer_links[i] = Err(self.now_ms() + k::PEER_REDIAL_INTERVAL_MS);
+                if !c.is_connecting {
+                    self.pending_events
+                        .push(NetworkEvent::LinkDown(PeerLink::Outbound(i)));
                 }
             }
-            Role::PeerIn => self.out.push(NetEvent::LinkDown(Link::In(key as u64))),
+            ConnectionKind::PeerInbound => self
+                .pending_events
+                .push(NetworkEvent::LinkDown(PeerLink::Inbound(key as u64))),
         }
     }
 
     /// Forgets a closed client connection and fails the call on it, if there is one.
-    fn client_closed(&mut self, key: usize, addr: &str, call: Option<u64>, why: Failed) {
-        if let Some(list) = self.idle.get_mut(addr) {
+    fn forget_client_connection(
+        &mut self,
+        key: usize,
+        addr: &str,
+        call: Option<u64>,
+        why: CallFailure,
+    ) {
+        if let Some(list) = self.idle_connections.get_mut(addr) {
             list.retain(|i| *i != key);
         }
         if let Some(call) = call {
-            self.calls.remove(&call);
-            self.failed(call, why);
+            self.calls_in_progress.remove(&call);
+            self.report_call_failure(call, why);
         }
     }
 
     /// Writes what is due and asks for write events only while something is left.
-    pub(super) fn push(&mut self, key: usize) {
-        let Some(c) = self.conns.get_mut(&key) else {
+    pub(super) fn write_output(&mut self, key: usize) {
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
-        if !c.drain() {
-            return self.close(key);
+        if !c.write_pending() {
+            return self.close_connection(key);
         }
         let left = !c.output.is_empty();
-        let answered_last = Role::Server {
-            busy: false,
-            close: true,
+        let answered_last = ConnectionKind::Server {
+            request_in_progress: false,
+            close_after_reply: true,
         };
-        if !left && c.role == answered_last {
-            return self.close(key);
+        if !left && c.kind == answered_last {
+            return self.close_connection(key);
         }
         if left != c.wants_write {
             c.wants_write = left;
-            let interest = interest(key, left);
+            let interest = poll_interest(key, left);
             if self
                 .poller
                 .modify_with_mode(&c.stream, interest, PollMode::Level)
                 .is_err()
             {
-                self.close(key);
+                self.close_connection(key);
             }
         }
     }
--- a/crates/net/src/net/mod.rs
+++ b/crates/net/src/net/mod.rs
@@ -6,220 +6,234 @@
 mod server;
 mod socket;
 
-use crate::admit::Admission;
-use crate::conn::{Conn, Got, Role};
-use crate::event::{Link, NetEvent};
+use crate::admit::AdmissionLimiter;
+use crate::conn::{Connection, ConnectionKind, ReadOutcome};
+use crate::event::{NetworkEvent, PeerLink};
 use polling::{Event, Events, PollMode, Poller};
-use socket::listen;
+use socket::open_listener;
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 use stonegw_constants as k;
 
-const CLIENTS: usize = 0;
-const PEERS: usize = 1;
-const FIRST: usize = 2;
+const CLIENT_LISTENER_KEY: usize = 0;
+const PEER_LISTENER_KEY: usize = 1;
+const FIRST_CONNECTION_KEY: usize = 2;
 
 /// All sockets of the process and what happens on them.
-pub struct Net {
+pub struct EventLoop {
     poller: Poller,
-    events: Events,
-    start: Instant,
-    clients: TcpListener,
-    peers: TcpListener,
-    conns: HashMap<usize, Conn>,
-    next: usize,
+    poll_events: Events,
+    started_at: Instant,
+    client_listener: TcpListener,
+    peer_listener: TcpListener,
+    connections: HashMap<usize, Connection>,
+    next_key: usize,
     max_sockets: usize,
     /// Idle connections of ours, by address.
-    idle: HashMap<String, Vec<usize>>,
+    idle_connections: HashMap<String, Vec<usize>>,
     /// Calls in progress, with their connection.
-    calls: HashMap<u64, usize>,
+    calls_in_progress: HashMap<u64, usize>,
     peer_addrs: Vec<String>,
     /// The connection to each peer, or when to dial again.
     peer_links: Vec<Result<usize, u64>>,
-    admission: Admission,
-    out: Vec<NetEvent>,
+    admission: AdmissionLimiter,
+    pending_events: Vec<NetworkEvent>,
     /// Connections with something new to send: all that one turn has to say goes out together.
-    unsent: Vec<usize>,
-    swept: u64,
+    unwritten_connections: Vec<usize>,
+    last_sweep_at: u64,
     /// When the timers last ran.
-    timed_at: u64,
-    accept_paused: bool,
+    timers_ran_at: u64,
+    is_accept_paused: bool,
 }
 
-impl Net {
+impl EventLoop {
     /// Opens the listening sockets; `peer_addrs`: the other controllers, as IP address and port.
     pub fn new(
         client_listen: SocketAddr,
         peer_listen: SocketAddr,
         peer_addrs: Vec<String>,
         max_sockets: usize,
-    ) -> io::Result<Net> {
+    ) -> io::Result<EventLoop> {
         let poller = Poller::new()?;
-        let clients = listen(client_listen)?;
-        let peers = listen(peer_listen)?;
-        for (listener, key) in [(&clients, CLIENTS), (&peers, PEERS)] {
+        let clients = open_listener(client_listen)?;
+        let peers = open_listener(peer_listen)?;
+        for (listener, key) in [(&clients, CLIENT_LISTENER_KEY), (&peers, PEER_LISTENER_KEY)] {
             // Safe: the listeners live as long as the poller.
             unsafe { poller.add_with_mode(listener, Event::readable(key), PollMode::Level)? };
         }
         let peer_links = peer_addrs.iter().map(|_| Err(0)).collect();
-        Ok(Net {
+        Ok(EventLoop {
             poller,
-            events: Events::new(),
-            start: Instant::now(),
-            clients,
-            peers,
-            conns: HashMap::new(),
-            next: FIRST,
+            poll_events: Events::new(),
+            started_at: Instant::now(),
+            client_listener: clients,
+            peer_listener: peers,
+            connections: HashMap::new(),
+            next_key: FIRST_CONNECTION_KEY,
             max_sockets,
-            idle: HashMap::new(),
-            calls: HashMap::new(),
+            idle_connections: HashMap::new(),
+            calls_in_progress: HashMap::new(),
             peer_addrs,
             peer_links,
-            admission: Admission::default(),
-            out: vec![],
-            unsent: vec![],
-            swept: 0,
-            timed_at: 0,
-            accept_paused: false,
+            admission: AdmissionLimiter::default(),
+            pending_events: vec![],
+            unwritten_connections: vec![],
+            last_sweep_at: 0,
+            timers_ran_at: 0,
+            is_accept_paused: false,
         })
     }
 
     /// Milliseconds of the steady clock since the start, plus one so that 0 means "never".
-    pub fn now(&self) -> u64 {
-        self.start.elapsed().as_millis() as u64 + 1
+    pub fn now_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64 + 1
     }
 
     /// Waits for something to happen, at most until the next turn of the timers.
-    pub fn poll(&mut self) -> io::Result<Vec<NetEvent>> {
-        self.events.clear();
-        for key in std::mem::take(&mut self.unsent) {
-            self.push(key);
+    pub fn poll(&mut self) -> io::Result<Vec<NetworkEvent>> {
+        self.poll_events.clear();
+        for key in std::mem::take(&mut self.unwritten_connections) {
+            self.write_output(key);
         }
-        let wait = Duration::from_millis(if self.out.is_empty() { k::TICK_MS } else { 0 });
-        match self.poller.wait(&mut self.events, Some(wait)) {
+        let wait = Duration::from_millis(if self.pending_events.is_empty() {
+            k::TIMER_INTERVAL_MS
+        } else {
+            0
+        });
+        match self.poller.wait(&mut self.poll_events, Some(wait)) {
             Ok(_) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
-        let happened: Vec<Event> = self.events.iter().collect();
+        let happened: Vec<Event> = self.poll_events.iter().collect();
         for ev in happened {
             match ev.key {
-                CLIENTS => self.accept(true),
-                PEERS => self.accept(false),
-                key => self.ready(key, ev.readable, ev.writable),
+                CLIENT_LISTENER_KEY => self.accept_connections(true),
+                PEER_LISTENER_KEY => self.accept_connections(false),
+                key => self.handle_readiness(key, ev.readable, ev.writable),
             }
         }
-        self.timers();
-        Ok(std::mem::take(&mut self.out))
+        self.run_timers();
+        Ok(std::mem::take(&mut self.pending_events))
     }
 
     /// Handles one readiness event.
-    fn ready(&mut self, key: usize, readable: bool, writable: bool) {
-        let Some(c) = self.conns.get(&key) else {
+    fn handle_readiness(&mut self, key: usize, readable: bool, writable: bool) {
+        let Some(c) = self.connections.get(&key) else {
             return;
         };
-        if c.connecting {
-            return self.connected(key, writable);
+        if c.is_connecting {
+            return self.finish_connecting(key, writable);
         }
         if writable {
-            self.push(key);
+            self.write_output(key);
         }
         if readable {
-            self.read(key);
+            self.handle_readable(key);
         }
     }
 
     /// Ends a connection attempt, if it has succeeded or failed.
-    fn connected(&mut self, key: usize, writable: bool) {
-        let Some(c) = self.conns.get_mut(&key) else {
+    fn finish_connecting(&mut self, key: usize, writable: bool) {
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
         match c.stream.take_error() {
             Ok(None) if writable => {
-                c.connecting = false;
-                if let Role::PeerOut(i) = c.role {
-                    self.out.push(NetEvent::LinkUp(Link::Out(i)));
+                c.is_connecting = false;
+                if let ConnectionKind::PeerOutbound(i) = c.kind {
+                    self.pending_events
+                        .push(NetworkEvent::LinkUp(PeerLink::Outbound(i)));
                 }
-                self.push(key);
+                self.write_output(key);
             }
             Ok(None) => {}
-            _ => self.close(key),
+            _ => self.close_connection(key),
         }
     }
 
     /// Reads what has arrived and hands it to the parser for its role.
-    fn read(&mut self, key: usize) {
-        let Some(c) = self.conns.get_mut(&key) else {
+    fn handle_readable(&mut self, key: usize) {
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
-        let limit = match c.role {
-            Role::Server { .. } => k::MAX_HEAD + k::MAX_BODY,
-            _ => k::MAX_ANSWER,
+        let limit = match c.kind {
+            ConnectionKind::Server { .. } => k::MAX_HEAD_BYTES + k::MAX_REQUEST_BODY_BYTES,
+            _ => k::MAX_RESPONSE_BYTES,
         };
-        let got = c.fill(limit);
-        match c.role {
-            Role::Server { .. } => {
-                if got == Got::Closed {
-                    return self.close(key);
+        let got = c.read_available(limit);
+        match c.kind {
+            ConnectionKind::Server { .. } => {
+                if got == ReadOutcome::Closed {
+                    return self.close_connection(key);
                 }
-                self.serve(key);
+                self.serve_next_request(key);
             }
-            Role::Client { .. } => self.answered(key, got),
-            Role::PeerIn => self.frames(key, Link::In(key as u64), got),
-            Role::PeerOut(i) => self.frames(key, Link::Out(i), got),
+            ConnectionKind::Client { .. } => self.handle_response(key, got),
+            ConnectionKind::PeerInbound => {
+                self.receive_frames(key, PeerLink::Inbound(key as u64), got)
+            }
+            ConnectionKind::PeerOutbound(i) => self.receive_frames(key, PeerLink::Outbound(i), got),
         }
     }
 
     /// Closes what is past its deadline and redials peers.
-    fn timers(&mut self) {
-        let now = self.now();
-        let gap = now.saturating_sub(std::mem::replace(&mut self.timed_at, now));
-        if gap >= k::PAUSE_MS {
-            return self.resume(gap);
+    fn run_timers(&mut self) {
+        let now = self.now_ms();
+        let gap = now.saturating_sub(std::mem::replace(&mut self.timers_ran_at, now));
+        if gap >= k::PROCESS_PAUSE_THRESHOLD_MS {
+            return self.extend_deadlines(gap);
         }
-        self.close_late_calls(now);
-        if now >= self.swept + 1_000 {
-            self.swept = now;
-            self.close_expired(now);
-            self.dial(now);
+        self.close_timed_out_calls(now);
+        if now >= self.last_sweep_at + 1_000 {
+            self.last_sweep_at = now;
+            self.close_expired_connections(now);
+            self.dial_peers(now);
         }
     }
 
     /// The process stood still: what has come meanwhile is read before anything counts as late, and the
     /// admission limit learns nothing from requests that waited.
-    fn resume(&mut self, gap: u64) {
-        for c in self.conns.values_mut() {
+    fn extend_deadlines(&mut self, gap: u64) {
+        for c in self.connections.values_mut() {
             c.deadline += gap;
-            c.asked_at += gap;
+            c.request_received_at += gap;
         }
     }
 
-    fn close_late_calls(&mut self, now: u64) {
+    fn close_timed_out_calls(&mut self, now: u64) {
         let late: Vec<usize> = self
-            .calls
+            .calls_in_progress
             .values()
             .copied()
-            .filter(|key| self.conns.get(key).is_some_and(|c| now >= c.deadline))
+            .filter(|key| self.connections.get(key).is_some_and(|c| now >= c.deadline))
             .collect();
         for key in late {
-            self.close(key);
+            self.close_connection(key);
         }
     }
 
     /// Closes connections past their deadline, except while the core owes an answer.
-    fn close_expired(&mut self, now: u64) {
+    fn close_expired_connections(&mut self, now: u64) {
         let old: Vec<usize> = self
-            .conns
+            .connections
             .iter()
             .filter(|(_, c)| {
-                now >= c.deadline && !matches!(c.role, Role::Server { busy: true, .. })
+                now >= c.deadline
+                    && !matches!(
+                        c.kind,
+                        ConnectionKind::Server {
+                            request_in_progress: true,
+                            ..
+                        }
+                    )
             })
             .map(|(key, _)| *key)
             .collect();
         for key in old {
-            self.close(key);
+            self.close_connection(key);
         }
     }
 }
--- a/crates/net/src/net/peer.rs
+++ b/crates/net/src/net/peer.rs
@@ -1,72 +1,77 @@
 //! Links to the other controllers.
-use super::socket::connect;
-use super::Net;
-use crate::conn::{Conn, Got, Role};
-use crate::event::{Link, NetEvent};
+use super::socket::start_connect;
+use super::EventLoop;
+use crate::conn::{Connection, ConnectionKind, ReadOutcome};
+use crate::event::{NetworkEvent, PeerLink};
 use stonegw_constants as k;
 use stonegw_wire::frame::Frame;
 
-impl Net {
+impl EventLoop {
     /// Queues a frame for a peer; without a connection the frame is dropped.
-    pub fn send(&mut self, to: Link, frame: &Frame) {
+    pub fn send_frame(&mut self, to: PeerLink, frame: &Frame) {
         let key = match to {
-            Link::Out(i) => match self.peer_links[i] {
+            PeerLink::Outbound(i) => match self.peer_links[i] {
                 Ok(key) => key,
                 Err(_) => return,
             },
-            Link::In(key) => key as usize,
+            PeerLink::Inbound(key) => key as usize,
         };
-        let Some(c) = self.conns.get_mut(&key) else {
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
         frame.write(&mut c.output);
-        if c.output.len() > k::MAX_BACKLOG {
+        if c.output.len() > k::MAX_PEER_BACKLOG_BYTES {
             log::warn!("a peer stopped reading");
-            return self.close(key);
+            return self.close_connection(key);
         }
-        if !c.connecting && self.unsent.last() != Some(&key) {
-            self.unsent.push(key);
+        if !c.is_connecting && self.unwritten_connections.last() != Some(&key) {
+            self.unwritten_connections.push(key);
         }
     }
 
     /// Parses the frames that have arrived, after a read with the outcome `got`.
-    pub(super) fn frames(&mut self, key: usize, from: Link, got: Got) {
-        let now = self.now();
+    pub(super) fn receive_frames(&mut self, key: usize, from: PeerLink, got: ReadOutcome) {
+        let now = self.now_ms();
         loop {
-            let Some(c) = self.conns.get_mut(&key) else {
+            let Some(c) = self.connections.get_mut(&key) else {
                 return;
             };
             match Frame::parse(&c.input) {
                 Ok(Some((frame, taken))) => {
                     c.input.drain(..taken);
-                    c.deadline = now + k::IDLE_MS;
-                    self.out.push(NetEvent::Frame { from, frame });
+                    c.deadline = now + k::IDLE_CONNECTION_TIMEOUT_MS;
+                    self.pending_events
+                        .push(NetworkEvent::Frame { link: from, frame });
                 }
                 Ok(None) => break,
                 Err(e) => {
                     log::warn!("bad frame from {from:?}: {e:?}");
-                    return self.close(key);
+                    return self.close_connection(key);
                 }
             }
         }
-        if got == Got::Closed {
-            self.close(key);
+        if got == ReadOutcome::Closed {
+            self.close_connection(key);
         }
     }
 
     /// Connects to every peer whose redial time has come; `now` in ms.
-    pub(super) fn dial(&mut self, now: u64) {
+    pub(super) fn dial_peers(&mut self, now: u64) {
         for i in 0..self.peer_links.len() {
             let due = matches!(self.peer_links[i], Err(at) if now >= at);
             if !due {
                 continue;
             }
-            self.peer_links[i] = Err(now + k::PEER_REDIAL_MS);
-            match connect(&self.peer_addrs[i]) {
+            self.peer_links[i] = Err(now + k::PEER_REDIAL_INTERVAL_MS);
+            match start_connect(&self.peer_addrs[i]) {
                 Ok(stream) => {
-                    let mut c = Conn::new(stream, Role::PeerOut(i), now + k::SLOW_MS);
-                    c.connecting = true;
-                    if let Some(key) = self.add(c) {
+                    let mut c = Connection::new(
+                        stream,
+                        ConnectionKind::PeerOutbound(i),
+                        now + k::REQUEST_READ_TIMEOUT_MS,
+                    );
+                    c.is_connecting = true;
+                    if let Some(key) = self.register_connection(c) {
                         self.peer_links[i] = Ok(key);
                     }
                 }
--- a/crates/net/src/net/server.rs
+++ b/crates/net/src/net/server.rs
@@ -1,96 +1,105 @@
 //! Requests of users and workers on accepted connections.
-use super::Net;
-use crate::conn::Role;
-use crate::event::NetEvent;
+use super::EventLoop;
+use crate::conn::ConnectionKind;
+use crate::event::NetworkEvent;
 use stonegw_constants as k;
 use stonegw_wire::http::{self, HttpError, Request};
 use stonegw_wire::msg::{encode, ErrorBody};
 
-impl Net {
+impl EventLoop {
     /// Answers request `id`; `retry_after_s` in seconds.
     pub fn reply(&mut self, id: u64, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
-        let now = self.now();
+        let now = self.now_ms();
         let key = id as usize;
-        let Some(c) = self.conns.get_mut(&key) else {
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
-        let Role::Server { busy, close } = &mut c.role else {
+        let ConnectionKind::Server {
+            request_in_progress: busy,
+            close_after_reply: close,
+        } = &mut c.kind
+        else {
             return;
         };
         *busy = false;
         http::write_response(&mut c.output, status, retry_after_s, *close, body);
-        c.deadline = now + k::IDLE_MS;
-        if c.counted {
-            c.counted = false;
-            self.admission.leave(now, now.saturating_sub(c.asked_at));
+        c.deadline = now + k::IDLE_CONNECTION_TIMEOUT_MS;
+        if c.counts_toward_admission {
+            c.counts_toward_admission = false;
+            self.admission
+                .record_completion(now, now.saturating_sub(c.request_received_at));
         }
-        self.unsent.push(key);
+        self.unwritten_connections.push(key);
         // The next request may already be here.
-        self.serve(key);
+        self.serve_next_request(key);
     }
 
     /// Parses the next request of an idle connection.
-    pub(super) fn serve(&mut self, key: usize) {
-        let now = self.now();
-        let Some(c) = self.conns.get_mut(&key) else {
+    pub(super) fn serve_next_request(&mut self, key: usize) {
+        let now = self.now_ms();
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
-        let Role::Server { busy, close } = &mut c.role else {
+        let ConnectionKind::Server {
+            request_in_progress: busy,
+            close_after_reply: close,
+        } = &mut c.kind
+        else {
             return;
         };
         if *busy || c.input.is_empty() {
             return;
         }
-        match http::parse_request(&c.input, k::MAX_BODY) {
+        match http::parse_request(&c.input, k::MAX_REQUEST_BODY_BYTES) {
             Ok(None) => {
                 // From its first byte a request has so long to arrive.
-                c.deadline = c.deadline.min(now + k::SLOW_MS);
+                c.deadline = c.deadline.min(now + k::REQUEST_READ_TIMEOUT_MS);
             }
             Ok(Some((request, taken))) => {
                 c.input.drain(..taken);
                 *busy = true;
-                *close = request.close;
-                c.deadline = now + k::IDLE_MS;
-                c.asked_at = now;
-                self.admit(key, request, now);
+                *close = request.connection_close;
+                c.deadline = now + k::IDLE_CONNECTION_TIMEOUT_MS;
+                c.request_received_at = now;
+                self.admit_request(key, request, now);
             }
-            Err(e) => self.reject(key, e),
+            Err(e) => self.reject_request(key, e),
         }
     }
 
     /// Hands a request to the core, or turns a user's away while too many are in progress.
-    fn admit(&mut self, key: usize, request: Request, now: u64) {
+    fn admit_request(&mut self, key: usize, request: Request, now: u64) {
         let user = request.path.starts_with("/submissions");
         let question = (request.method == "GET").then_some(request.path.as_str());
-        if user && !self.admission.enter(now, question) {
+        if user && !self.admission.try_admit(now, question) {
             let body = encode(&ErrorBody {
                 error: "too many requests in progress".into(),
             });
-            return self.reply(key as u64, 429, Some(k::RETRY_BUSY_S), &body);
+            return self.reply(key as u64, 429, Some(k::RETRY_AFTER_OVERLOAD_S), &body);
         }
-        if let Some(c) = self.conns.get_mut(&key) {
-            c.counted = user;
+        if let Some(c) = self.connections.get_mut(&key) {
+            c.counts_toward_admission = user;
         }
-        self.out.push(NetEvent::Request {
-            id: key as u64,
+        self.pending_events.push(NetworkEvent::Request {
+            request_id: key as u64,
             request,
         });
     }
 
     /// Answers a malformed request and closes the connection.
-    fn reject(&mut self, key: usize, e: HttpError) {
-        let Some(c) = self.conns.get_mut(&key) else {
+    fn reject_request(&mut self, key: usize, e: HttpError) {
+        let Some(c) = self.connections.get_mut(&key) else {
             return;
         };
         let body = encode(&ErrorBody {
             error: format!("{e:?}"),
         });
         c.input.clear();
-        c.role = Role::Server {
-            busy: false,
-            close: true,
+        c.kind = ConnectionKind::Server {
+            request_in_progress: false,
+            close_after_reply: true,
         };
         http::write_response(&mut c.output, e.status(), None, true, &body);
-        self.push(key);
+        self.write_output(key);
     }
 }
--- a/crates/net/src/net/socket.rs
+++ b/crates/net/src/net/socket.rs
@@ -4,13 +4,13 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use stonegw_constants as k;
 
-fn open(addr: SocketAddr) -> io::Result<Socket> {
+fn open_socket(addr: SocketAddr) -> io::Result<Socket> {
     Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))
 }
 
 /// Opens a listening socket.
-pub(super) fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
-    let socket = open(addr)?;
+pub(super) fn open_listener(addr: SocketAddr) -> io::Result<TcpListener> {
+    let socket = open_socket(addr)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
     socket.listen(k::LISTEN_BACKLOG)?;
@@ -19,11 +19,11 @@
 }
 
 /// Starts a connection attempt; a write event tells its end.
-pub(super) fn connect(addr: &str) -> io::Result<TcpStream> {
+pub(super) fn start_connect(addr: &str) -> io::Result<TcpStream> {
     let addr: SocketAddr = addr
         .parse()
         .map_err(|_| io::Error::new(io::ErrorKind::InvalidInput, "not an IP address and port"))?;
-    let socket = open(addr)?;
+    let socket = open_socket(addr)?;
     socket.set_nonblocking(true)?;
     let _ = socket.set_tcp_nodelay(true);
     match socket.connect(&addr.into()) {
--- a/crates/sched/tests/pam.rs
+++ b/crates/sched/tests/pam.rs
@@ -3,19 +3,19 @@
 #[test]
 fn best_chance_first_then_soonest_finish() {
     let (a, b) = (
-        Offer {
-            chance: 0.9,
-            finish: 50.0,
-            spare: 0.0,
-            price: 1.0,
+        PlacementScore {
+            on_time_probability: 0.9,
+            expected_finish_s: 50.0,
+            cpu_headroom: 0.0,
+            price_per_cpu: 1.0,
         },
-        Offer {
-            chance: 0.5,
-            finish: 10.0,
-            spare: 0.0,
-            price: 1.0,
+        PlacementScore {
+            on_time_probability: 0.5,
+            expected_finish_s: 10.0,
+            cpu_headroom: 0.0,
+            price_per_cpu: 1.0,
         },
     );
-    assert!(a.beats(&b) && !b.beats(&a));
-    assert_eq!(soonest([(1, a), (2, b)].into_iter()).unwrap().0, 2);
+    assert!(a.is_better_than(&b) && !b.is_better_than(&a));
+    assert_eq!(earliest_finish([(1, a), (2, b)].into_iter()).unwrap().0, 2);
 }
--- a/crates/sched/tests/runtimes.rs
+++ b/crates/sched/tests/runtimes.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn observations_outweigh_a_wrong_estimate() {
-    let mut r = RunTimes::seeded(100.0, 1.0);
+    let mut r = RunTimeHistogram::from_estimate(100.0, 1.0);
     assert!((r.mean_s() - 110.0).abs() < 15.0);
     for _ in 0..20 {
-        r.record(30.0);
+        r.record_run(30.0);
     }
     assert!(r.mean_s() < 45.0);
     assert!(r.cumulative().0[12] > 0.85);
@@ -13,10 +13,10 @@
 
 #[test]
 fn what_is_left_forgets_what_has_passed() {
-    let mut r = RunTimes::seeded(100.0, 1.0);
-    assert!(r.left(0.0).mean() > 100.0);
-    let l = r.left(140.0);
-    assert!(l.mean() < 50.0);
+    let mut r = RunTimeHistogram::from_estimate(100.0, 1.0);
+    assert!(r.remaining_after(0.0).mean_s() > 100.0);
+    let l = r.remaining_after(140.0);
+    assert!(l.mean_s() < 50.0);
     assert!((l.0.iter().sum::<f32>() - 1.0).abs() < 1e-3);
-    assert!(r.left(1000.0).mean() > 100.0);
+    assert!(r.remaining_after(1000.0).mean_s() > 100.0);
 }
--- a/crates/stonegwd/src/main.rs
+++ b/crates/stonegwd/src/main.rs
@@ -10,7 +10,7 @@
 use stonegw_constants as k;
 use stonegw_control::api::{Action, CallError, Event, Link, Now, Target};
 use stonegw_control::node::Node;
-use stonegw_net::{Failed, Net, NetEvent};
+use stonegw_net::{CallFailure, EventLoop, NetworkEvent};
 
 /// Controller of the stonegw cluster scheduler.
 #[derive(Parser)]
@@ -29,7 +29,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let loaded = match settings::load(&args.config, args.tuning.as_deref()) {
+    let loaded = match settings::load_settings(&args.config, args.tuning.as_deref()) {
         Ok(loaded) => loaded,
         Err(why) => {
             eprintln!("stonegwd: {why}");
@@ -38,14 +38,14 @@
     };
     if args.check {
         // Whoever reads may stop early; the check has passed all the same.
-        let _ = writeln!(std::io::stdout(), "{:#?}", loaded.core);
+        let _ = writeln!(std::io::stdout(), "{:#?}", loaded.settings);
         return ExitCode::SUCCESS;
     }
     let env = env_logger::Env::new().filter_or("LOG_LEVEL", "info");
     env_logger::Builder::from_env(env)
         .format_timestamp_millis()
         .init();
-    match run(loaded) {
+    match run_controller(loaded) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("{e}");
@@ -54,20 +54,20 @@
     }
 }
 
-fn run(loaded: settings::Loaded) -> std::io::Result<()> {
-    let settings::Loaded {
-        core,
+fn run_controller(loaded: settings::LoadedSettings) -> std::io::Result<()> {
+    let settings::LoadedSettings {
+        settings: core,
         client_listen,
         cluster_listen,
         peer_endpoints,
-        cloud,
-        state,
+        cloud_endpoint: cloud,
+        store_endpoint: state,
     } = loaded;
-    log::info!("{} starts", core.node);
+    log::info!("{} starts", core.node_name);
     for team in &core.teams {
         log::debug!("{team:?}");
     }
-    let mut net = Net::new(
+    let mut net = EventLoop::new(
         client_listen,
         cluster_listen,
         peer_endpoints,
@@ -80,88 +80,97 @@
             events.push(Event::Tick);
         }
         let now = Now {
-            ms: net.now(),
+            monotonic_ms: net.now_ms(),
             wall_ms: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_millis() as u64),
         };
-        let (came, began) = (events.len(), net.now());
+        let (came, began) = (events.len(), net.now_ms());
         let actions = node.handle(now, events.drain(..));
-        let took = net.now() - began;
-        if took > k::SLOW_TURN_MS {
+        let took = net.now_ms() - began;
+        if took > k::SLOW_TURN_THRESHOLD_MS {
             log::info!("a turn of {came} events took {took} ms");
         }
         for action in actions {
             // Should the process have stood still meanwhile, the lease on which the cloud and the
             // workers may be told something may be over.
-            let stale = net.now() > now.ms + k::STALE_TURN_MS;
-            perform(&mut net, action, &cloud, &state, stale);
+            let stale = net.now_ms() > now.monotonic_ms + k::STALE_TURN_THRESHOLD_MS;
+            perform_action(&mut net, action, &cloud, &state, stale);
         }
-        events.extend(net.poll()?.into_iter().map(translate));
+        events.extend(net.poll()?.into_iter().map(to_controller_event));
     }
 }
 
-fn perform(net: &mut Net, action: Action, cloud: &str, state: &str, stale: bool) {
+fn perform_action(net: &mut EventLoop, action: Action, cloud: &str, state: &str, stale: bool) {
     match action {
         Action::Reply {
-            id,
+            request_id: id,
             status,
             retry_after_s,
             body,
         } => net.reply(id, status, retry_after_s, &body),
         Action::Call {
-            call,
+            call_id: call,
             target,
             method,
             path,
             body,
             timeout_ms,
         } => {
-            if stale && target != Target::State {
+            if stale && target != Target::Store {
                 log::warn!("stood still; {method} {path} is not sent");
-                return net.failed(call, Failed::NotSent);
+                return net.report_call_failure(call, CallFailure::NotSent);
             }
             let addr = match &target {
-                Target::State => state,
+                Target::Store => state,
                 Target::Cloud => cloud,
                 Target::Worker(addr) => addr,
             };
             let vital = !matches!(target, Target::Worker(_));
-            net.call(call, addr, vital, method, &path, &body, timeout_ms);
+            net.start_call(call, addr, vital, method, &path, &body, timeout_ms);
         }
-        Action::Send { to, frame } => net.send(
+        Action::SendFrame { to, frame } => net.send_frame(
             match to {
-                Link::Out(i) => stonegw_net::Link::Out(i),
-                Link::In(n) => stonegw_net::Link::In(n),
+                Link::Outbound(i) => stonegw_net::PeerLink::Outbound(i),
+                Link::Inbound(n) => stonegw_net::PeerLink::Inbound(n),
             },
             &frame,
         ),
     }
 }
 
-fn link(l: stonegw_net::Link) -> Link {
+fn to_controller_link(l: stonegw_net::PeerLink) -> Link {
     match l {
-        stonegw_net::Link::Out(i) => Link::Out(i),
-        stonegw_net::Link::In(n) => Link::In(n),
+        stonegw_net::PeerLink::Outbound(i) => Link::Outbound(i),
+        stonegw_net::PeerLink::Inbound(n) => Link::Inbound(n),
     }
 }
 
-fn translate(event: NetEvent) -> Event {
+fn to_controller_event(event: NetworkEvent) -> Event {
     match event {
-        NetEvent::Request { id, request } => Event::Request { id, request },
-        NetEvent::CallDone { call, result } => Event::CallDone {
-            call,
+        NetworkEvent::Request {
+            request_id: id,
+            request,
+        } => Event::Request {
+            request_id: id,
+            request,
+        },
+        NetworkEvent::CallDone {
+            call_id: call,
+            result,
+        } => Event::CallDone {
+            call_id: call,
             result: result.map_err(|e| match e {
-                Failed::NotSent => CallError::NotSent,
-                Failed::Unknown => CallError::Unknown,
-                Failed::TooLarge => CallError::TooLarge,
+                CallFailure::NotSent => CallError::NotSent,
+                CallFailure::OutcomeUnknown => CallError::OutcomeUnknown,
+                CallFailure::ResponseTooLarge => CallError::ResponseTooLarge,
             }),
         },
-        NetEvent::Frame { from, frame } => Event::Frame {
-            from: link(from),
+        NetworkEvent::Frame { link: from, frame } => Event::Frame {
+            from: to_controller_link(from),
             frame,
         },
-        NetEvent::LinkUp(l) => Event::LinkUp(link(l)),
-        NetEvent::LinkDown(l) => Event::LinkDown(link(l)),
+        NetworkEvent::LinkUp(l) => Event::LinkUp(to_controller_link(l)),
+        NetworkEvent::LinkDown(l) => Event::LinkDown(to_controller_link(l)),
     }
 }
