--- a/crates/stonegwd/src/settings.rs
+++ b/crates/stonegwd/src/settings.rs
@@ -2,136 +2,173 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
-use stonegw_constants::{GANG_PEER_S, GANG_WAIT_S, LEAST_GANG_S};
-use stonegw_control::settings::{Promise, Promised, Settings, Team, Tuning};
+use stonegw_constants::{
+    DEFAULT_GANG_LOSS_DETECTION_S, DEFAULT_GANG_START_TIMEOUT_S, MIN_GANG_TIMEOUT_S,
+};
+use stonegw_control::settings::{ClassSlo, Settings, SloMilestone, Team, Tuning};
 
-pub struct Loaded {
-    pub core: Settings,
+pub struct LoadedSettings {
+    pub settings: Settings,
     pub client_listen: SocketAddr,
     pub cluster_listen: SocketAddr,
     pub peer_endpoints: Vec<String>,
-    pub cloud: String,
-    pub state: String,
+    pub cloud_endpoint: String,
+    pub store_endpoint: String,
 }
 
 // The platform may add fields at any time; unknown ones are ignored.
 #[derive(Deserialize)]
-struct Platform {
-    node: String,
+struct PlatformSettings {
+    #[serde(rename = "node")]
+    node_name: String,
     #[serde(default)]
-    site: String,
+    #[serde(rename = "site")]
+    zone: String,
     client_listen: String,
     cluster_listen: String,
     #[serde(default)]
-    known: Vec<Known>,
-    external: External,
-    deployment: Deployment,
+    #[serde(rename = "known")]
+    known_nodes: Vec<KnownNode>,
+    #[serde(rename = "external")]
+    external_services: ExternalServices,
+    deployment: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
-struct Known {
-    node: String,
+struct KnownNode {
+    #[serde(rename = "node")]
+    node_name: String,
     endpoint: String,
 }
 
 #[derive(Deserialize)]
-struct External {
-    cloud: String,
-    state: String,
+struct ExternalServices {
+    #[serde(rename = "cloud")]
+    cloud_endpoint: String,
+    #[serde(rename = "state")]
+    store_endpoint: String,
 }
 
 #[derive(Deserialize)]
-struct Deployment {
+struct DeploymentSettings {
     #[serde(default)]
     zones: Vec<String>,
     #[serde(default)]
     teams: Vec<PlatformTeam>,
     #[serde(default)]
     objectives: Vec<Objective>,
-    workers: Workers,
-    state: State,
-    cloud: Cloud,
-    limits: Limits,
+    workers: WorkerSettings,
+    #[serde(rename = "state")]
+    store: StoreSettings,
+    cloud: CloudSettings,
+    limits: ProcessLimits,
 }
 
 #[derive(Deserialize)]
 struct PlatformTeam {
     name: String,
-    cpus: f64,
-    cpus_max: f64,
+    #[serde(rename = "cpus")]
+    quota_cpus: f64,
+    #[serde(rename = "cpus_max")]
+    limit_cpus: f64,
     #[serde(default)]
-    gpus: f64,
+    #[serde(rename = "gpus")]
+    quota_gpus: f64,
     #[serde(default)]
-    gpus_max: f64,
+    #[serde(rename = "gpus_max")]
+    limit_gpus: f64,
 }
 
 // Kinds that we don't know are none of ours.
 #[derive(Deserialize)]
 struct Objective {
     kind: String,
-    class: Option<String>,
+    #[serde(rename = "class")]
+    job_class: Option<String>,
     within_s: Option<f64>,
 }
 
 #[derive(Deserialize)]
-struct Workers {
-    report_s: f64,
-    lease_s: f64,
-    cancel_s: f64,
-    gang_wait_s: Option<f64>,
-    gang_peer_s: Option<f64>,
+struct WorkerSettings {
+    #[serde(rename = "report_s")]
+    heartbeat_interval_s: f64,
+    #[serde(rename = "lease_s")]
+    worker_lease_s: f64,
+    #[serde(rename = "cancel_s")]
+    cancellation_deadline_s: f64,
+    #[serde(rename = "gang_wait_s")]
+    gang_start_timeout_s: Option<f64>,
+    #[serde(rename = "gang_peer_s")]
+    gang_loss_detection_s: Option<f64>,
 }
 
 #[derive(Deserialize)]
-struct State {
-    rps: f64,
-    write_rps: f64,
-    value_kb: f64,
-    txn_ops: usize,
-    next: Option<NextState>,
+struct StoreSettings {
+    #[serde(rename = "rps")]
+    requests_per_s: f64,
+    #[serde(rename = "write_rps")]
+    writes_per_s: f64,
+    #[serde(rename = "value_kb")]
+    max_value_kb: f64,
+    #[serde(rename = "txn_ops")]
+    max_transaction_writes: usize,
+    #[serde(rename = "next")]
+    upcoming_limits: Option<UpcomingStoreLimits>,
 }
 
 /// Limits that the state service will have from a moment that nobody announces.
 #[derive(Deserialize)]
-struct NextState {
-    rps: Option<f64>,
-    write_rps: Option<f64>,
-    value_kb: Option<f64>,
-    txn_ops: Option<usize>,
+struct UpcomingStoreLimits {
+    #[serde(rename = "rps")]
+    requests_per_s: Option<f64>,
+    #[serde(rename = "write_rps")]
+    writes_per_s: Option<f64>,
+    #[serde(rename = "value_kb")]
+    max_value_kb: Option<f64>,
+    #[serde(rename = "txn_ops")]
+    max_transaction_writes: Option<usize>,
 }
 
 /// The limits that we keep to, checked.
-struct StateLimits {
-    rps: f64,
-    write_rps: f64,
-    value_bytes: usize,
-    txn_ops: usize,
+struct CheckedStoreLimits {
+    requests_per_s: f64,
+    writes_per_s: f64,
+    max_value_bytes: usize,
+    max_transaction_writes: usize,
 }
 
 #[derive(Deserialize)]
-struct Cloud {
-    rps: f64,
-    list_lag_s: f64,
+struct CloudSettings {
+    #[serde(rename = "rps")]
+    requests_per_s: f64,
+    #[serde(rename = "list_lag_s")]
+    listing_lag_s: f64,
 }
 
 #[derive(Deserialize)]
-struct Limits {
+struct ProcessLimits {
     max_sockets: f64,
 }
 
 // The operators' file is ours: a field we do not know is a mistake.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
-struct Operators {
-    spare_tasks: Option<f64>,
-    idle_boots: Option<f64>,
-    slack_use: Option<f64>,
-    inflow_use: Option<f64>,
-    leader_ttl_s: Option<f64>,
-    mapping_s: Option<f64>,
+struct OperatorTuning {
+    #[serde(rename = "spare_tasks")]
+    headroom_tasks: Option<f64>,
+    #[serde(rename = "idle_boots")]
+    idle_retention_boots: Option<f64>,
+    #[serde(rename = "slack_use")]
+    slack_fraction: Option<f64>,
+    #[serde(rename = "inflow_use")]
+    arrival_rate_fraction: Option<f64>,
+    #[serde(rename = "leader_ttl_s")]
+    leader_lease_ttl_s: Option<f64>,
+    #[serde(rename = "mapping_s")]
+    scheduling_interval_s: Option<f64>,
 }
 
-fn one_line(text: impl ToString) -> String {
+fn to_one_line(text: impl ToString) -> String {
     let text = text.to_string();
     let parts: Vec<&str> = text
         .lines()
@@ -141,12 +178,12 @@
     parts.join(" ")
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, String> {
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, String> {
     text.parse()
         .map_err(|_| format!("{field}: must be an IP address and port, not {text:?}"))
 }
 
-fn within(field: &str, value: f64, least: f64, most: f64) -> Result<f64, String> {
+fn check_range(field: &str, value: f64, least: f64, most: f64) -> Result<f64, String> {
     if value.is_finite() && value >= least && value <= most {
         Ok(value)
     } else {
@@ -157,12 +194,12 @@
 }
 
 /// A time of the workers that platforms without gangs do not state.
-fn gang_time(name: &str, stated: Option<f64>, default: f64) -> Result<f64, String> {
+fn check_gang_timeout(name: &str, stated: Option<f64>, default: f64) -> Result<f64, String> {
     match stated {
-        Some(seconds) => within(
+        Some(seconds) => check_range(
             &format!("deployment.workers.{name}"),
             seconds,
-            LEAST_GANG_S,
+            MIN_GANG_TIMEOUT_S,
             86_400.0,
         ),
         None => {
@@ -174,7 +211,7 @@
 
 /// A limit and the one that may follow it: the lower of both holds from the start, since the moment
 /// of the change is not known.
-fn lower<T: PartialOrd + Copy>(
+fn check_lower_limit<T: PartialOrd + Copy>(
     field: &str,
     now: T,
     next: Option<T>,
@@ -188,7 +225,7 @@
     Ok(if next < now { next } else { now })
 }
 
-fn transaction_size(field: &str, writes: usize) -> Result<usize, String> {
+fn check_transaction_writes(field: &str, writes: usize) -> Result<usize, String> {
     if (1..=10_000).contains(&writes) {
         Ok(writes)
     } else {
@@ -196,83 +233,94 @@
     }
 }
 
-fn state_limits(state: &State) -> Result<StateLimits, String> {
-    let rate = |field: &str, value| within(field, value, 1.0, 1e6);
-    let next = state.next.as_ref();
-    let next_kb = next.and_then(|n| n.value_kb);
-    let value_kb = lower("value_kb", state.value_kb, next_kb, rate)?;
-    let next_ops = next.and_then(|n| n.txn_ops);
-    let next_writes = next.and_then(|n| n.write_rps);
-    Ok(StateLimits {
-        rps: lower("rps", state.rps, next.and_then(|n| n.rps), rate)?,
-        write_rps: lower("write_rps", state.write_rps, next_writes, rate)?,
-        value_bytes: (value_kb * 1024.0) as usize,
-        txn_ops: lower("txn_ops", state.txn_ops, next_ops, transaction_size)?,
+fn check_store_limits(state: &StoreSettings) -> Result<CheckedStoreLimits, String> {
+    let rate = |field: &str, value| check_range(field, value, 1.0, 1e6);
+    let next = state.upcoming_limits.as_ref();
+    let next_kb = next.and_then(|n| n.max_value_kb);
+    let value_kb = check_lower_limit("value_kb", state.max_value_kb, next_kb, rate)?;
+    let next_ops = next.and_then(|n| n.max_transaction_writes);
+    let next_writes = next.and_then(|n| n.writes_per_s);
+    Ok(CheckedStoreLimits {
+        requests_per_s: check_lower_limit(
+            "rps",
+            state.requests_per_s,
+            next.and_then(|n| n.requests_per_s),
+            rate,
+        )?,
+        writes_per_s: check_lower_limit("write_rps", state.writes_per_s, next_writes, rate)?,
+        max_value_bytes: (value_kb * 1024.0) as usize,
+        max_transaction_writes: check_lower_limit(
+            "txn_ops",
+            state.max_transaction_writes,
+            next_ops,
+            check_transaction_writes,
+        )?,
     })
 }
 
-pub fn load(config: &Path, tuning: Option<&Path>) -> Result<Loaded, String> {
+pub fn load_settings(config: &Path, tuning: Option<&Path>) -> Result<LoadedSettings, String> {
     let read = |p: &Path| std::fs::read_to_string(p).map_err(|e| format!("{}: {e}", p.display()));
     let tuning = match tuning {
-        Some(p) => operators(&read(p)?).map_err(|e| format!("{}: {e}", p.display()))?,
+        Some(p) => parse_operator_tuning(&read(p)?).map_err(|e| format!("{}: {e}", p.display()))?,
         None => Tuning::default(),
     };
-    platform(&read(config)?, tuning).map_err(|e| format!("{}: {e}", config.display()))
+    parse_platform_settings(&read(config)?, tuning)
+        .map_err(|e| format!("{}: {e}", config.display()))
 }
 
-fn operators(text: &str) -> Result<Tuning, String> {
-    let o: Operators = hcl::from_str(text).map_err(one_line)?;
+fn parse_operator_tuning(text: &str) -> Result<Tuning, String> {
+    let o: OperatorTuning = hcl::from_str(text).map_err(to_one_line)?;
     let mut t = Tuning::default();
-    if let Some(v) = o.spare_tasks {
-        t.spare_tasks = within("spare_tasks", v, 0.0, 10_000.0)?;
+    if let Some(v) = o.headroom_tasks {
+        t.headroom_tasks = check_range("spare_tasks", v, 0.0, 10_000.0)?;
     }
-    if let Some(v) = o.idle_boots {
-        t.idle_boots = within("idle_boots", v, 0.0, 1e6)?;
+    if let Some(v) = o.idle_retention_boots {
+        t.idle_retention_boots = check_range("idle_boots", v, 0.0, 1e6)?;
     }
-    if let Some(v) = o.slack_use {
-        t.slack_use = within("slack_use", v, 0.05, 1.0)?;
+    if let Some(v) = o.slack_fraction {
+        t.slack_fraction = check_range("slack_use", v, 0.05, 1.0)?;
     }
-    if let Some(v) = o.inflow_use {
-        t.inflow_use = within("inflow_use", v, 0.0, 2.0)?;
+    if let Some(v) = o.arrival_rate_fraction {
+        t.arrival_rate_fraction = check_range("inflow_use", v, 0.0, 2.0)?;
     }
-    if let Some(v) = o.leader_ttl_s {
-        t.leader_ttl_ms = (within("leader_ttl_s", v, 1.0, 600.0)? * 1e3) as u64;
+    if let Some(v) = o.leader_lease_ttl_s {
+        t.leader_lease_ttl_ms = (check_range("leader_ttl_s", v, 1.0, 600.0)? * 1e3) as u64;
     }
-    if let Some(v) = o.mapping_s {
-        t.map_ms = (within("mapping_s", v, 0.05, 60.0)? * 1e3) as u64;
+    if let Some(v) = o.scheduling_interval_s {
+        t.scheduling_interval_ms = (check_range("mapping_s", v, 0.05, 60.0)? * 1e3) as u64;
     }
     Ok(t)
 }
 
 /// A team's limits, checked. One of 0 CPUs and 0 cards is none at all: such a team is a guest, which
 /// uses what others leave.
-fn team(t: PlatformTeam) -> Result<Team, String> {
-    let cpus_max = within("deployment.teams.cpus_max", t.cpus_max, 0.0, 1e9)?;
-    let gpus_max = within("deployment.teams.gpus_max", t.gpus_max, 0.0, 1e9)?;
+fn check_team(t: PlatformTeam) -> Result<Team, String> {
+    let cpus_max = check_range("deployment.teams.cpus_max", t.limit_cpus, 0.0, 1e9)?;
+    let gpus_max = check_range("deployment.teams.gpus_max", t.limit_gpus, 0.0, 1e9)?;
     let unlimited = cpus_max == 0.0 && gpus_max == 0.0;
     let limit = |most: f64| if unlimited { f64::INFINITY } else { most };
     Ok(Team {
-        cpus: within("deployment.teams.cpus", t.cpus, 0.0, 1e9)?,
-        cpus_max: limit(cpus_max),
-        gpus: within("deployment.teams.gpus", t.gpus, 0.0, 1e9)?,
-        gpus_max: limit(gpus_max),
+        quota_cpus: check_range("deployment.teams.cpus", t.quota_cpus, 0.0, 1e9)?,
+        limit_cpus: limit(cpus_max),
+        quota_gpus: check_range("deployment.teams.gpus", t.quota_gpus, 0.0, 1e9)?,
+        limit_gpus: limit(gpus_max),
         name: t.name,
     })
 }
 
-fn platform(text: &str, tuning: Tuning) -> Result<Loaded, String> {
-    let source = toml::Deserializer::parse(text).map_err(|e| one_line(e.message()))?;
-    let mut p: Platform = serde_path_to_error::deserialize(source)
-        .map_err(|e| format!("{}: {}", e.path(), one_line(e.inner().message())))?;
-    if p.node.is_empty() || p.node.len() > 30 {
+fn parse_platform_settings(text: &str, tuning: Tuning) -> Result<LoadedSettings, String> {
+    let source = toml::Deserializer::parse(text).map_err(|e| to_one_line(e.message()))?;
+    let mut p: PlatformSettings = serde_path_to_error::deserialize(source)
+        .map_err(|e| format!("{}: {}", e.path(), to_one_line(e.inner().message())))?;
+    if p.node_name.is_empty() || p.node_name.len() > 30 {
         return Err("node: must be 1 to 30 bytes".into());
     }
-    for k in &p.known {
-        address("known.endpoint", &k.endpoint)?;
-        if k.node.is_empty() || k.node == p.node {
+    for k in &p.known_nodes {
+        parse_address("known.endpoint", &k.endpoint)?;
+        if k.node_name.is_empty() || k.node_name == p.node_name {
             return Err(format!(
                 "known.node: must name another node, not {:?}",
-                k.node
+                k.node_name
             ));
         }
     }
@@ -284,81 +332,94 @@
                 t.name
             ));
         }
-        teams.push(team(t)?);
+        teams.push(check_team(t)?);
     }
     let mut promises = vec![];
     for o in std::mem::take(&mut p.deployment.objectives) {
         let what = match o.kind.as_str() {
-            "wait" => Promised::Start,
-            "finished" => Promised::Finish,
+            "wait" => SloMilestone::Start,
+            "finished" => SloMilestone::Finish,
             _ => continue,
         };
-        if let (Some(class), Some(s)) = (o.class, o.within_s) {
-            let within_s = within("deployment.objectives.within_s", s, 0.0, 1e9)?;
-            promises.push(Promise {
+        if let (Some(class), Some(s)) = (o.job_class, o.within_s) {
+            let within_s = check_range("deployment.objectives.within_s", s, 0.0, 1e9)?;
+            promises.push(ClassSlo {
                 class,
-                what,
+                milestone: what,
                 within_s,
             });
         }
     }
     let d = &p.deployment;
-    let state = state_limits(&d.state)?;
-    address("external.cloud", &p.external.cloud)?;
-    address("external.state", &p.external.state)?;
+    let state = check_store_limits(&d.store)?;
+    parse_address("external.cloud", &p.external_services.cloud_endpoint)?;
+    parse_address("external.state", &p.external_services.store_endpoint)?;
     let core = Settings {
-        node: p.node,
-        zone: p.site,
-        peers: p.known.iter().map(|k| k.node.clone()).collect(),
+        node_name: p.node_name,
+        zone: p.zone,
+        peers: p.known_nodes.iter().map(|k| k.node_name.clone()).collect(),
         zones: d.zones.clone(),
         teams,
-        promises,
-        report_s: within(
+        class_slos: promises,
+        heartbeat_interval_s: check_range(
             "deployment.workers.report_s",
-            d.workers.report_s,
+            d.workers.heartbeat_interval_s,
             0.1,
             3600.0,
         )?,
-        lease_s: within(
+        worker_lease_s: check_range(
             "deployment.workers.lease_s",
-            d.workers.lease_s,
+            d.workers.worker_lease_s,
             0.5,
             86_400.0,
         )?,
-        cancel_s: within(
+        cancellation_deadline_s: check_range(
             "deployment.workers.cancel_s",
-            d.workers.cancel_s,
+            d.workers.cancellation_deadline_s,
             0.5,
             86_400.0,
         )?,
-        gang_wait_s: gang_time("gang_wait_s", d.workers.gang_wait_s, GANG_WAIT_S)?,
-        gang_peer_s: gang_time("gang_peer_s", d.workers.gang_peer_s, GANG_PEER_S)?,
-        state_rps: state.rps,
-        state_write_rps: state.write_rps,
-        value_bytes: state.value_bytes,
-        txn_ops: state.txn_ops,
-        cloud_rps: within("deployment.cloud.rps", d.cloud.rps, 0.01, 1e6)?,
-        list_lag_s: within(
+        gang_start_timeout_s: check_gang_timeout(
+            "gang_wait_s",
+            d.workers.gang_start_timeout_s,
+            DEFAULT_GANG_START_TIMEOUT_S,
+        )?,
+        gang_loss_detection_s: check_gang_timeout(
+            "gang_peer_s",
+            d.workers.gang_loss_detection_s,
+            DEFAULT_GANG_LOSS_DETECTION_S,
+        )?,
+        store_requests_per_s: state.requests_per_s,
+        store_writes_per_s: state.writes_per_s,
+        max_value_bytes: state.max_value_bytes,
+        max_transaction_writes: state.max_transaction_writes,
+        cloud_requests_per_s: check_range(
+            "deployment.cloud.rps",
+            d.cloud.requests_per_s,
+            0.01,
+            1e6,
+        )?,
+        cloud_listing_lag_s: check_range(
             "deployment.cloud.list_lag_s",
-            d.cloud.list_lag_s,
+            d.cloud.listing_lag_s,
             0.0,
             3600.0,
         )?,
-        max_sockets: within(
+        max_sockets: check_range(
             "deployment.limits.max_sockets",
             d.limits.max_sockets,
-            stonegw_constants::LEAST_SOCKETS,
+            stonegw_constants::MIN_SOCKETS,
             1e7,
         )? as usize,
         tuning,
     };
-    Ok(Loaded {
-        client_listen: address("client_listen", &p.client_listen)?,
-        cluster_listen: address("cluster_listen", &p.cluster_listen)?,
-        peer_endpoints: p.known.into_iter().map(|k| k.endpoint).collect(),
-        cloud: p.external.cloud,
-        state: p.external.state,
-        core,
+    Ok(LoadedSettings {
+        client_listen: parse_address("client_listen", &p.client_listen)?,
+        cluster_listen: parse_address("cluster_listen", &p.cluster_listen)?,
+        peer_endpoints: p.known_nodes.into_iter().map(|k| k.endpoint).collect(),
+        cloud_endpoint: p.external_services.cloud_endpoint,
+        store_endpoint: p.external_services.store_endpoint,
+        settings: core,
     })
 }
 
--- a/crates/stonegwd/src/settings_tests.rs
+++ b/crates/stonegwd/src/settings_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const GOOD: &str = r#"
+const VALID_SETTINGS: &str = r#"
     node = "a"
     site = "z"
     client_listen = "10.0.0.1:8080"
@@ -45,10 +45,10 @@
 
 #[test]
 fn wrong_settings_name_the_field() {
-    let Ok(good) = platform(GOOD, Tuning::default()) else {
+    let Ok(good) = parse_platform_settings(VALID_SETTINGS, Tuning::default()) else {
         panic!("good settings are refused");
     };
-    let promised: Vec<f64> = good.core.promised("c", 5.0).collect();
+    let promised: Vec<f64> = good.settings.slo_deadlines("c", 5.0).collect();
     assert_eq!(promised, [300.0]);
     for (from, to, field) in [
         ("node = \"a\"", "node = \"\"", "node"),
@@ -82,18 +82,25 @@
             "deployment.objectives.within_s",
         ),
     ] {
-        let text = GOOD.replacen(from, to, 1);
-        let why = platform(&text, Tuning::default()).err().expect(field);
+        let text = VALID_SETTINGS.replacen(from, to, 1);
+        let why = parse_platform_settings(&text, Tuning::default())
+            .err()
+            .expect(field);
         assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
     }
 }
 
-fn state_limits_of(next: &str) -> Result<(f64, f64, usize, usize), String> {
+fn store_limits_with_next(next: &str) -> Result<(f64, f64, usize, usize), String> {
     let to = format!("txn_ops = 32\n{next}");
-    let text = GOOD.replacen("txn_ops = 32", &to, 1);
-    let core = platform(&text, Tuning::default())?.core;
-    let rates = (core.state_rps, core.state_write_rps);
-    Ok((rates.0, rates.1, core.value_bytes, core.txn_ops))
+    let text = VALID_SETTINGS.replacen("txn_ops = 32", &to, 1);
+    let core = parse_platform_settings(&text, Tuning::default())?.settings;
+    let rates = (core.store_requests_per_s, core.store_writes_per_s);
+    Ok((
+        rates.0,
+        rates.1,
+        core.max_value_bytes,
+        core.max_transaction_writes,
+    ))
 }
 
 /// The state service lowers its limits at a moment that nobody announces: whoever kept to the present
@@ -101,13 +108,13 @@
 #[test]
 fn the_lower_of_present_and_next_limits_holds() {
     let none = (150.0, 60.0, 8192, 32);
-    assert_eq!(state_limits_of(""), Ok(none));
-    assert_eq!(state_limits_of("[deployment.state.next]"), Ok(none));
+    assert_eq!(store_limits_with_next(""), Ok(none));
+    assert_eq!(store_limits_with_next("[deployment.state.next]"), Ok(none));
     let all =
         "[deployment.state.next]\nrps = 100.0\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4\n";
-    assert_eq!(state_limits_of(all), Ok((100.0, 18.0, 2048, 4)));
+    assert_eq!(store_limits_with_next(all), Ok((100.0, 18.0, 2048, 4)));
     let some = "next = { value_kb = 2.0, rps = 200.0, txn_ops = 64, later = 1 }";
-    assert_eq!(state_limits_of(some), Ok((150.0, 60.0, 2048, 32)));
+    assert_eq!(store_limits_with_next(some), Ok((150.0, 60.0, 2048, 32)));
 }
 
 #[test]
@@ -119,20 +126,23 @@
         ("txn_ops = 0", "deployment.state.next.txn_ops"),
         ("txn_ops = true", "deployment.state.next.txn_ops"),
     ] {
-        let why = state_limits_of(&format!("next = {{ {next} }}")).expect_err(field);
+        let why = store_limits_with_next(&format!("next = {{ {next} }}")).expect_err(field);
         assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
     }
 }
 
 #[test]
 fn the_operators_file_is_strict() {
-    let t = operators("spare_tasks = 4\nidle_boots = 1.5\n").unwrap();
-    assert_eq!((t.spare_tasks, t.idle_boots), (4.0, 1.5));
-    assert!(operators("spare_task = 4\n").is_err());
-    assert!(operators("slack_use = 0\n")
+    let t = parse_operator_tuning("spare_tasks = 4\nidle_boots = 1.5\n").unwrap();
+    assert_eq!((t.headroom_tasks, t.idle_retention_boots), (4.0, 1.5));
+    assert!(parse_operator_tuning("spare_task = 4\n").is_err());
+    assert!(parse_operator_tuning("slack_use = 0\n")
         .unwrap_err()
         .contains("slack_use"));
-    assert_eq!(operators("").unwrap().map_ms, Tuning::default().map_ms);
+    assert_eq!(
+        parse_operator_tuning("").unwrap().scheduling_interval_ms,
+        Tuning::default().scheduling_interval_ms
+    );
 }
 
 /// Guests come without a guarantee and without a limit: 0 in both is none. Taken as a limit of nothing, it had
@@ -141,10 +151,10 @@
 fn a_team_without_limits_is_a_guest_and_uses_what_is_left() {
     let limits = |cpus_max: f64, gpus_max: f64| {
         let to = format!("cpus_max = {cpus_max:?}\n    gpus_max = {gpus_max:?}");
-        let text = GOOD.replacen("cpus_max = 2.0", &to, 1);
-        let loaded = platform(&text, Tuning::default()).expect("good settings");
-        let team = &loaded.core.teams[0];
-        (team.cpus_max, team.gpus_max)
+        let text = VALID_SETTINGS.replacen("cpus_max = 2.0", &to, 1);
+        let loaded = parse_platform_settings(&text, Tuning::default()).expect("good settings");
+        let team = &loaded.settings.teams[0];
+        (team.limit_cpus, team.limit_gpus)
     };
     assert_eq!(limits(0.0, 0.0), (f64::INFINITY, f64::INFINITY));
     // A team with a limit on one of the two has none of the other.
--- a/crates/testkit/examples/play.rs
+++ b/crates/testkit/examples/play.rs
@@ -4,5 +4,8 @@
     let text = std::fs::read_to_string(&path).expect("the trace");
     let sim = stonegw_testkit::trace::play(&text);
     println!("{}", sim.log.join("\n"));
-    println!("broken {:#?}, failed {:#?}", sim.broken, sim.failures);
+    println!(
+        "broken {:#?}, failed {:#?}",
+        sim.violations, sim.expectation_failures
+    );
 }
--- a/crates/testkit/src/outside/worker.rs
+++ b/crates/testkit/src/outside/worker.rs
@@ -12,51 +12,51 @@
 #[derive(Clone, Debug)]
 pub struct Task {
     pub state: TaskState,
-    pub why: Option<ExitCause>,
+    pub exit_cause: Option<ExitCause>,
     /// Whether its progress was saved when it was stopped; none if it never saves.
-    pub saved: Option<bool>,
+    pub progress_saved: Option<bool>,
     /// The run of its gang that it is part of, once that has started.
-    pub gang_run: Option<GangRunId>,
+    pub gang_run_id: Option<GangRunId>,
     /// When its state ends by itself.
-    pub until: Ms,
+    pub state_ends_at: Ms,
 }
 
 impl Task {
     /// A task in that state, which ends by itself at that moment.
-    pub fn new(state: TaskState, until: Ms) -> Task {
+    pub fn new(state: TaskState, state_ends_at: Ms) -> Task {
         Task {
             state,
-            why: None,
-            saved: None,
-            gang_run: None,
-            until,
+            exit_cause: None,
+            progress_saved: None,
+            gang_run_id: None,
+            state_ends_at,
         }
     }
 
     /// A start that the worker refuses.
-    pub fn refused(why: ExitCause) -> Task {
+    pub fn rejected(why: ExitCause) -> Task {
         let mut task = Task::new(TaskState::Exited, Ms::MAX);
-        task.why = Some(why);
+        task.exit_cause = Some(why);
         task
     }
 
     /// It ends now.
     pub fn exit(&mut self, why: ExitCause) {
         self.state = TaskState::Exited;
-        self.why = Some(why);
-        self.until = Ms::MAX;
+        self.exit_cause = Some(why);
+        self.state_ends_at = Ms::MAX;
     }
 
     /// Whether it has its image and has not exited.
-    pub fn on_machine(&self) -> bool {
+    pub fn is_on_machine(&self) -> bool {
         matches!(
             self.state,
-            TaskState::Gathering | TaskState::Running | TaskState::Saving
+            TaskState::WaitingForGang | TaskState::Running | TaskState::Checkpointing
         )
     }
 
     /// Whether it takes room on its machine.
-    pub fn present(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.state != TaskState::Exited
     }
 }
@@ -64,112 +64,114 @@
 /// The worker of one machine.
 pub struct Worker {
     pub id: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
-    pub node: usize,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
+    pub heartbeat_node: usize,
     /// When the last answered report was sent, or the session began.
-    pub renewed: Ms,
-    pub next_report: Ms,
-    pub changed: bool,
+    pub lease_renewed_at: Ms,
+    pub next_heartbeat_at: Ms,
+    pub has_unreported_changes: bool,
     /// The report in flight: request number and when it was sent.
-    pub flying: Option<(u64, Ms)>,
+    pub heartbeat_in_flight: Option<(u64, Ms)>,
     pub tasks: BTreeMap<TaskKey, Task>,
     /// When each image was there, or will be.
-    pub images: BTreeMap<String, Ms>,
+    pub image_ready_at: BTreeMap<String, Ms>,
     /// Seconds' notice it reports.
-    pub notice_s: Option<f64>,
+    pub eviction_notice_s: Option<f64>,
     /// The cloud takes the machine back then, and its worker reports how long that is off.
-    pub taken_at: Option<Ms>,
+    pub eviction_at: Option<Ms>,
     /// Its steps count from here; the next at which it looks at itself.
-    pub grid: Ms,
-    pub turn_at: Ms,
+    pub up_since: Ms,
+    pub next_wakeup_at: Ms,
     /// It stands still until then, with all its tasks.
-    pub hangs_until: Ms,
+    pub hung_until: Ms,
 }
 
 /// A machine's address.
-pub fn addr_of(id: &str) -> String {
+pub fn machine_address(id: &str) -> String {
     format!("{id}:1")
 }
 
 impl Worker {
     /// The worker of a new machine; it is up at that moment and reports to that node first.
-    pub fn new(id: &str, hire: Hire, node: usize, up: Ms) -> Worker {
+    pub fn new(id: &str, hire: ProvisionRequest, heartbeat_node: usize, up: Ms) -> Worker {
         Worker {
             id: id.to_owned(),
-            kind: hire.machine_type,
+            machine_type: hire.machine_type,
             zone: hire.zone,
-            spot: hire.spot,
-            session: 1,
-            seq: 0,
-            token: 0,
-            node,
-            renewed: up,
-            next_report: up,
-            changed: false,
-            flying: None,
+            spot: hire.is_spot,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
+            heartbeat_node,
+            lease_renewed_at: up,
+            next_heartbeat_at: up,
+            has_unreported_changes: false,
+            heartbeat_in_flight: None,
             tasks: BTreeMap::new(),
-            images: BTreeMap::new(),
-            notice_s: None,
-            taken_at: None,
-            grid: up,
-            turn_at: Ms::MAX,
-            hangs_until: 0,
+            image_ready_at: BTreeMap::new(),
+            eviction_notice_s: None,
+            eviction_at: None,
+            up_since: up,
+            next_wakeup_at: Ms::MAX,
+            hung_until: 0,
         }
     }
 
     /// The next report.
-    pub fn report(&mut self, now: Ms) -> Report {
-        self.seq += 1;
-        let left = self.taken_at.map(|at| at.saturating_sub(now) as f64 / 1e3);
-        Report {
-            machine: self.id.clone(),
-            addr: addr_of(&self.id),
-            machine_type: self.kind.clone(),
+    pub fn build_heartbeat(&mut self, now: Ms) -> Heartbeat {
+        self.sequence += 1;
+        let left = self
+            .eviction_at
+            .map(|at| at.saturating_sub(now) as f64 / 1e3);
+        Heartbeat {
+            machine_id: self.id.clone(),
+            addr: machine_address(&self.id),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
-            spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: left.or(self.notice_s),
+            is_spot: self.spot,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            eviction_in_s: left.or(self.eviction_notice_s),
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
-                    task: task.clone(),
+                .map(|((task, attempt), t)| TaskStatus {
+                    task_id: task.clone(),
                     attempt: *attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: t.saved,
+                    exit_cause: t.exit_cause,
+                    progress_saved: t.progress_saved,
                 })
                 .collect(),
         }
     }
 
     /// A message with that token was accepted.
-    pub fn saw(&mut self, token: u64) {
-        if token > self.token {
-            self.token = token;
-            self.changed = true;
+    pub fn observe_fencing_token(&mut self, token: u64) {
+        if token > self.fencing_token {
+            self.fencing_token = token;
+            self.has_unreported_changes = true;
         }
     }
 
     /// The lease ran out: everything is killed and forgotten.
-    pub fn lose_session(&mut self, now: Ms) {
-        self.session += 1;
+    pub fn begin_new_incarnation(&mut self, now: Ms) {
+        self.incarnation += 1;
         self.tasks.clear();
-        self.renewed = now;
-        self.flying = None;
-        self.changed = true;
+        self.lease_renewed_at = now;
+        self.heartbeat_in_flight = None;
+        self.has_unreported_changes = true;
     }
 
     /// Whether a task is on the machine: it has its image and has not exited.
-    pub fn on_machine(&self, task: &str) -> bool {
-        self.attempts_of(task).any(|(_, t)| t.on_machine())
+    pub fn has_task_on_machine(&self, task: &str) -> bool {
+        self.attempts_of(task).any(|(_, t)| t.is_on_machine())
     }
 
     /// The attempts of a task that the worker knows, also those that have exited.
@@ -180,7 +182,7 @@
 
     /// The names of the tasks that are on the machine.
     pub fn tasks_on_machine(&self) -> impl Iterator<Item = &str> {
-        let on = self.tasks.iter().filter(|(_, t)| t.on_machine());
+        let on = self.tasks.iter().filter(|(_, t)| t.is_on_machine());
         on.map(|((task, _), _)| task.as_str())
     }
 }
--- a/crates/testkit/src/sim/command.rs
+++ b/crates/testkit/src/sim/command.rs
@@ -1,103 +1,124 @@
 //! Commands at a worker: direct ones, their copies, and how they are carried out.
-use super::event::{Call, Caller, Step};
-use super::rule::MARGIN;
-use super::setup::{MACHINE_CPUS, MACHINE_GB};
-use super::{job_of, split_task, Sim, GANG_WAIT_MS};
+use super::event::{Caller, OutboundCall, SimulationEvent};
+use super::rule::RESOURCE_EPSILON;
+use super::setup::{MACHINE_CPUS, MACHINE_MEMORY_GB};
+use super::{job_id_of, parse_task_name, Simulation, GANG_WAIT_TIMEOUT_MS};
 use crate::outside::{Ms, Task, TaskKey, Worker};
 use stonegw_wire::msg::*;
 
-const FETCH_MS: Ms = 1_000;
+const IMAGE_FETCH_MS: Ms = 1_000;
 /// Tasks of a broken job fail so soon after they start.
-pub(super) const FAILS_AFTER_MS: Ms = 300;
+pub(super) const TASK_FAILURE_DELAY_MS: Ms = 300;
 
 /// Whether a worker carries out a direct command.
-fn entitled(orders: &Orders, worker: &Worker) -> bool {
-    orders.token >= worker.token && orders.session == Some(worker.session)
+fn passes_fencing(orders: &CommandBatch, worker: &Worker) -> bool {
+    orders.fencing_token >= worker.fencing_token && orders.incarnation == Some(worker.incarnation)
 }
 
-impl Sim {
+impl Simulation {
     /// A direct call reaches a worker, or is held back.
-    pub(super) fn at_worker(&mut self, call: Call, addr: &str) {
+    pub(super) fn handle_worker_call(&mut self, call: OutboundCall, addr: &str) {
         let id = addr.trim_end_matches(":1").to_owned();
-        if let Some(until) = self.held_until(&id) {
+        if let Some(until) = self.calls_held_until(&id) {
             // It arrives when the cut ends, whoever still waits for it.
-            self.note(format!("{} to {id} is held back", call.path));
-            return self.at(until, Step::Arrive(call));
+            self.append_log(format!("{} to {id} is held back", call.path));
+            return self.schedule(until, SimulationEvent::CallArrival(call));
         }
         let caller = call.caller;
         let Some(w) = self.workers.get(&id) else {
             return;
         };
-        if self.apart(caller.node, &w.zone) {
+        if self.is_node_partitioned_from_zone(caller.node, &w.zone) {
             return;
         }
         if call.method == "GET" {
-            return self.answer_report(caller, &id, 200);
+            return self.respond_with_heartbeat(caller, &id, 200);
         }
-        let Ok(orders) = decode::<Orders>(&call.body) else {
+        let Ok(orders) = decode::<CommandBatch>(&call.body) else {
             return;
         };
-        if let Some(lag) = self.copy_do.get(&id).copied() {
+        if let Some(lag) = self.direct_command_copy_delay_ms.get(&id).copied() {
             // A copy, whose own answer nobody waits for; it is not copied again.
-            let copy = Step::Copy(id.clone(), call.body.clone());
-            self.at(self.now + lag, copy);
+            let copy = SimulationEvent::DuplicateCommandArrival(id.clone(), call.body.clone());
+            self.schedule(self.now + lag, copy);
         }
-        let status = self.direct(&id, orders);
-        self.answer_report(caller, &id, status);
+        let status = self.apply_direct_commands(&id, orders);
+        self.respond_with_heartbeat(caller, &id, status);
     }
 
     /// Until when calls to a machine are held back.
-    fn held_until(&self, id: &str) -> Option<Ms> {
-        let faults = [&self.cut, &self.hold_do, &self.deaf];
+    fn calls_held_until(&self, id: &str) -> Option<Ms> {
+        let faults = [
+            &self.machine_partitioned_until,
+            &self.direct_commands_held_until,
+            &self.machine_unreachable_until,
+        ];
         let until = faults.iter().filter_map(|f| f.get(id).copied());
-        let hangs = self.workers.get(id).map(|w| w.hangs_until);
+        let hangs = self.workers.get(id).map(|w| w.hung_until);
         until.chain(hangs).max().filter(|until| self.now < *until)
     }
 
-    fn direct(&mut self, id: &str, orders: Orders) -> u16 {
+    fn apply_direct_commands(&mut self, id: &str, orders: CommandBatch) -> u16 {
         let w = self.workers.get_mut(id).expect("worker");
-        let entitled = entitled(&orders, w);
-        w.saw(orders.token);
-        self.worker_due(id, self.now);
+        let entitled = passes_fencing(&orders, w);
+        w.observe_fencing_token(orders.fencing_token);
+        self.schedule_worker_wakeup(id, self.now);
         if !entitled {
             return 409;
         }
-        self.execute(id, orders.commands);
+        self.execute_commands(id, orders.commands);
         200
     }
 
-    fn answer_report(&mut self, caller: Caller, id: &str, status: u16) {
+    fn respond_with_heartbeat(&mut self, caller: Caller, id: &str, status: u16) {
         let now = self.now;
-        let report = self.workers.get_mut(id).expect("worker").report(now);
-        self.answer(caller, self.wire_ms, (status, encode(&report)));
+        let report = self
+            .workers
+            .get_mut(id)
+            .expect("worker")
+            .build_heartbeat(now);
+        self.schedule_response(caller, self.network_latency_ms, (status, encode(&report)));
     }
 
     /// A direct command arrives once more.
-    pub(super) fn copy_arrives(&mut self, id: &str, body: &[u8]) {
-        let Ok(orders) = decode::<Orders>(body) else {
+    pub(super) fn apply_duplicate_commands(&mut self, id: &str, body: &[u8]) {
+        let Ok(orders) = decode::<CommandBatch>(body) else {
             return;
         };
-        if self.workers.get(id).is_some_and(|w| entitled(&orders, w)) {
-            self.note(format!("a direct command reaches {id} once more"));
-            self.execute(id, orders.commands);
+        if self
+            .workers
+            .get(id)
+            .is_some_and(|w| passes_fencing(&orders, w))
+        {
+            self.append_log(format!("a direct command reaches {id} once more"));
+            self.execute_commands(id, orders.commands);
         }
     }
 
     /// Carries out commands in order.
-    pub fn execute(&mut self, id: &str, commands: Vec<Command>) {
+    pub fn execute_commands(&mut self, id: &str, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Start { task, attempt } => self.start_task(id, (task, attempt)),
+                Command::Start {
+                    task_id: task,
+                    attempt,
+                } => self.start_task(id, (task, attempt)),
                 Command::Stop {
-                    task,
+                    task_id: task,
                     attempt,
-                    grace_s,
+                    grace_period_s: grace_s,
                 } => self.stop_task(id, &(task, attempt), grace_s),
-                Command::Forget { task, attempt } => self.forget_task(id, &(task, attempt)),
+                Command::Forget {
+                    task_id: task,
+                    attempt,
+                } => self.forget_task(id, &(task, attempt)),
             }
-            self.workers.get_mut(id).expect("worker").changed = true;
+            self.workers
+                .get_mut(id)
+                .expect("worker")
+                .has_unreported_changes = true;
         }
-        self.worker_due(id, self.now);
+        self.schedule_worker_wakeup(id, self.now);
     }
 
     fn start_task(&mut self, id: &str, key: TaskKey) {
@@ -105,78 +126,83 @@
         if self.workers[id].tasks.contains_key(&key) {
             return;
         }
-        let refusal = self.refusal(id, &key.0);
+        let refusal = self.start_rejection(id, &key.0);
         let w = self.workers.get_mut(id).expect("worker");
         if let Some(why) = refusal {
-            w.tasks.insert(key.clone(), Task::refused(why));
-            return self.note(format!("{}#{} is refused by {id}: {why:?}", key.0, key.1));
+            w.tasks.insert(key.clone(), Task::rejected(why));
+            return self.append_log(format!("{}#{} is refused by {id}: {why:?}", key.0, key.1));
         }
-        let j = self.jobs.get_mut(job_of(&key.0)).expect("not refused");
-        j.attempts.insert(key.1);
-        let image = w.images.entry(j.spec.image.clone());
-        let ready = *image.or_insert(now + FETCH_MS);
+        let j = self.jobs.get_mut(job_id_of(&key.0)).expect("not refused");
+        j.started_attempts.insert(key.1);
+        let image = w.image_ready_at.entry(j.spec.image.clone());
+        let ready = *image.or_insert(now + IMAGE_FETCH_MS);
         let task = Task::new(TaskState::Fetching, ready);
         w.tasks.insert(key.clone(), task);
         if now >= ready {
-            self.image_ready(id, &key);
+            self.handle_image_ready(id, &key);
         }
     }
 
     /// Why a worker refuses to start a task, if it does.
-    fn refusal(&self, id: &str, task: &str) -> Option<ExitCause> {
+    fn start_rejection(&self, id: &str, task: &str) -> Option<ExitCause> {
         let w = &self.workers[id];
-        let Some(job) = self.jobs.get(job_of(task)) else {
-            return Some(ExitCause::Unknown);
+        let Some(job) = self.jobs.get(job_id_of(task)) else {
+            return Some(ExitCause::UnknownTask);
         };
-        if w.attempts_of(task).any(|(_, t)| t.present()) {
-            return Some(ExitCause::Busy);
+        if w.attempts_of(task).any(|(_, t)| t.is_present()) {
+            return Some(ExitCause::AttemptConflict);
         }
-        let present = w.tasks.iter().filter(|(_, t)| t.present());
-        let specs = present.map(|((task, _), _)| &self.jobs[job_of(task)].spec);
+        let present = w.tasks.iter().filter(|(_, t)| t.is_present());
+        let specs = present.map(|((task, _), _)| &self.jobs[job_id_of(task)].spec);
         let (mut cpus, mut memory_gb) = (job.spec.cpus, job.spec.memory_gb);
         for spec in specs {
             cpus += spec.cpus;
             memory_gb += spec.memory_gb;
         }
-        let full = cpus > MACHINE_CPUS + MARGIN || memory_gb > MACHINE_GB + MARGIN;
-        full.then_some(ExitCause::NoRoom)
+        let full = cpus > MACHINE_CPUS + RESOURCE_EPSILON
+            || memory_gb > MACHINE_MEMORY_GB + RESOURCE_EPSILON;
+        full.then_some(ExitCause::NoCapacity)
     }
 
     /// A task has its image: it runs, waits for its gang, or tells a result that was kept.
-    pub(super) fn image_ready(&mut self, id: &str, key: &TaskKey) {
+    pub(super) fn handle_image_ready(&mut self, id: &str, key: &TaskKey) {
         let now = self.now;
-        let (job, index) = split_task(&key.0);
+        let (job, index) = parse_task_name(&key.0);
         let j = &self.jobs[job];
         let w = self.workers.get_mut(id).expect("worker");
         let t = w.tasks.get_mut(key).expect("task");
-        w.changed = true;
-        if j.finished.contains(&index) {
+        w.has_unreported_changes = true;
+        if j.finished_tasks.contains(&index) {
             t.exit(ExitCause::Done);
-            return self.note(format!("{}#{} was done before", key.0, key.1));
+            return self.append_log(format!("{}#{} was done before", key.0, key.1));
         }
         let gang = j.spec.kind == JobKind::Gang;
-        let run_ms = if j.broken { FAILS_AFTER_MS } else { j.run_ms };
-        (t.state, t.until) = match gang {
-            true => (TaskState::Gathering, now + GANG_WAIT_MS),
+        let run_ms = if j.tasks_fail {
+            TASK_FAILURE_DELAY_MS
+        } else {
+            j.task_run_ms
+        };
+        (t.state, t.state_ends_at) = match gang {
+            true => (TaskState::WaitingForGang, now + GANG_WAIT_TIMEOUT_MS),
             false => (TaskState::Running, now.saturating_add(run_ms)),
         };
-        self.started(id, &key.0, key.1);
+        self.record_task_start(id, &key.0, key.1);
     }
 
     fn stop_task(&mut self, id: &str, key: &TaskKey, grace_s: f64) {
         let w = self.workers.get_mut(id).expect("worker");
-        let Some(t) = w.tasks.get_mut(key).filter(|t| t.present()) else {
+        let Some(t) = w.tasks.get_mut(key).filter(|t| t.is_present()) else {
             return;
         };
-        match t.gang_run {
-            Some(run) => self.stop_member(run, id, key, grace_s),
+        match t.gang_run_id {
+            Some(run) => self.stop_gang_member(run, id, key, grace_s),
             None => t.exit(ExitCause::Stopped),
         }
     }
 
     fn forget_task(&mut self, id: &str, key: &TaskKey) {
         let w = self.workers.get_mut(id).expect("worker");
-        if w.tasks.get(key).is_some_and(|t| !t.present()) {
+        if w.tasks.get(key).is_some_and(|t| !t.is_present()) {
             w.tasks.remove(key);
         }
     }
--- a/crates/testkit/src/sim/event.rs
+++ b/crates/testkit/src/sim/event.rs
@@ -1,26 +1,26 @@
 //! The queue of events in simulated time, and who handles each.
-use super::Sim;
-use crate::outside::{Answer, Ms};
+use super::Simulation;
+use crate::outside::{Ms, Response};
 use stonegw_control::api::{CallError, Event, Link, Target};
 use stonegw_wire::frame::Frame;
 use stonegw_wire::http::Request;
 
 /// Gangs, and rules that time alone can break, are looked at so often.
-const CHECK_MS: Ms = 100;
-const ROOM_CHECK_MS: Ms = 1_000;
-const TICK_MS: Ms = 50;
+const INVARIANT_CHECK_INTERVAL_MS: Ms = 100;
+const CAPACITY_CHECK_INTERVAL_MS: Ms = 1_000;
+const NODE_TICK_INTERVAL_MS: Ms = 50;
 
 /// Which call of which node, in which of its lives: whom an answer is for.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Caller {
     pub node: usize,
-    pub life: u64,
-    pub call: u64,
+    pub incarnation: u64,
+    pub call_id: u64,
 }
 
 /// A request of a node to the state service, the cloud or a worker.
 #[derive(Clone, Debug)]
-pub(super) struct Call {
+pub(super) struct OutboundCall {
     pub caller: Caller,
     pub target: Target,
     pub method: &'static str,
@@ -30,177 +30,205 @@
 
 /// What happens at some moment.
 #[derive(Clone, Debug)]
-pub(super) enum Step {
+pub(super) enum SimulationEvent {
     /// A node's clock ticks, in that life of it.
-    Tick(usize, u64),
+    NodeTick(usize, u64),
     /// A worker's turn, if it is still the one that it waits for.
-    WorkerTurn(String, Ms),
+    WorkerWakeup(String, Ms),
     /// A call arrives at its target.
-    Arrive(Call),
+    CallArrival(OutboundCall),
     /// Its answer arrives at the node.
-    Answer {
+    CallCompletion {
         caller: Caller,
-        result: Result<Answer, CallError>,
+        result: Result<Response, CallError>,
     },
-    Restart(usize),
+    NodeStart(usize),
     /// A process that stood still goes on, in that life of it.
-    Resume(usize, u64),
+    NodeResume(usize, u64),
     /// A request of a user or a worker arrives at a node.
-    Ask {
-        ask: u64,
+    RequestArrival {
+        request_id: u64,
         node: usize,
         request: Request,
     },
     /// Its answer arrives.
-    Reply {
-        ask: u64,
+    ReplyArrival {
+        request_id: u64,
         status: u16,
         body: Vec<u8>,
     },
     /// A frame of another node arrives.
-    Frame {
-        to: usize,
-        life: u64,
-        from: Link,
+    FrameArrival {
+        receiver: usize,
+        receiver_incarnation: u64,
+        from_link: Link,
         frame: Frame,
     },
     /// A node, in that life of it, reaches another one.
     LinkUp(usize, u64, usize),
     /// A user's turn to ask about a job.
-    User(String),
+    UserWakeup(String),
     /// A look at gangs, and at the rules that time alone can break.
-    Check,
+    InvariantCheck,
     /// A line of the script.
-    Script(usize),
+    ScriptLine(usize),
     /// Open watches are looked at.
-    Wake,
+    WatchCheck,
     /// A direct command arrives once more.
-    Copy(String, Vec<u8>),
+    DuplicateCommandArrival(String, Vec<u8>),
 }
 
 /// A step and its moment; steps of the same moment happen in the order they were planned in.
-pub(super) struct Due {
-    pub when: Ms,
-    pub seq: u64,
-    pub step: Step,
+pub(super) struct ScheduledEvent {
+    pub due_at: Ms,
+    pub sequence: u64,
+    pub event: SimulationEvent,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
-        (self.when, self.seq) == (other.when, other.seq)
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
+        (self.due_at, self.sequence) == (other.due_at, other.sequence)
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     /// The earliest is the greatest: it leaves the heap first.
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
-        (other.when, other.seq).cmp(&(self.when, self.seq))
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
+        (other.due_at, other.sequence).cmp(&(self.due_at, self.sequence))
     }
 }
 
-impl Sim {
+impl Simulation {
     /// Lines of the script, each with its moment.
-    pub fn script(&mut self, lines: Vec<(Ms, Vec<String>)>) {
+    pub fn schedule_script(&mut self, lines: Vec<(Ms, Vec<String>)>) {
         self.script = lines;
         for i in 0..self.script.len() {
             let at = self.script[i].0;
-            self.at(at, Step::Script(i));
+            self.schedule(at, SimulationEvent::ScriptLine(i));
         }
     }
 
     /// Another line of the script, so much later.
-    pub fn later(&mut self, lag: Ms, line: Vec<String>) {
+    pub fn schedule_line_after(&mut self, lag: Ms, line: Vec<String>) {
         let when = self.now + lag;
         self.script.push((when, line));
-        self.at(when, Step::Script(self.script.len() - 1));
+        self.schedule(when, SimulationEvent::ScriptLine(self.script.len() - 1));
     }
 
-    pub(super) fn at(&mut self, when: Ms, step: Step) {
-        self.seq += 1;
-        self.queue.push(Due {
-            when,
-            seq: self.seq,
-            step,
+    pub(super) fn schedule(&mut self, when: Ms, step: SimulationEvent) {
+        self.event_sequence += 1;
+        self.event_queue.push(ScheduledEvent {
+            due_at: when,
+            sequence: self.event_sequence,
+            event: step,
         });
     }
 
     /// Runs the world up to that moment.
-    pub fn run(&mut self, until: Ms) {
-        while self.queue.peek().is_some_and(|due| due.when <= until) {
-            let due = self.queue.pop().expect("seen");
-            self.now = due.when;
-            self.step(due.step);
+    pub fn run_until(&mut self, until: Ms) {
+        while self
+            .event_queue
+            .peek()
+            .is_some_and(|due| due.due_at <= until)
+        {
+            let due = self.event_queue.pop().expect("seen");
+            self.now = due.due_at;
+            self.dispatch_event(due.event);
         }
         self.now = until;
     }
 
-    pub(super) fn step(&mut self, step: Step) {
+    pub(super) fn dispatch_event(&mut self, step: SimulationEvent) {
         match step {
-            Step::Tick(node, life) => self.tick(node, life),
-            Step::Restart(node) => self.start_node(node),
-            Step::Resume(node, life) => self.resume(node, life),
-            Step::LinkUp(node, life, other) => self.link_up(node, life, other),
-            Step::Frame {
-                to,
-                life,
-                from,
+            SimulationEvent::NodeTick(node, life) => self.tick_node(node, life),
+            SimulationEvent::NodeStart(node) => self.start_node(node),
+            SimulationEvent::NodeResume(node, life) => self.resume_node(node, life),
+            SimulationEvent::LinkUp(node, life, other) => self.bring_link_up(node, life, other),
+            SimulationEvent::FrameArrival {
+                receiver: to,
+                receiver_incarnation: life,
+                from_link: from,
                 frame,
-            } if self.lives[to] == life => self.give(to, Event::Frame { from, frame }),
-            Step::Frame { .. } => {}
-            Step::Answer { caller, result } => self.call_done(caller, result),
-            Step::Arrive(call) => self.arrive(call),
-            Step::Ask { ask, node, request } => self.asked(ask, node, request),
-            Step::Reply { ask, status, body } => self.replied(ask, status, &body),
-            Step::Wake => self.wake_watches(),
-            Step::Copy(id, body) => self.copy_arrives(&id, &body),
-            Step::WorkerTurn(id, at) => {
-                if self.workers.get(&id).is_some_and(|w| w.turn_at == at) {
-                    self.worker_turn(&id);
+            } if self.incarnations[to] == life => {
+                self.deliver_event(to, Event::Frame { from, frame })
+            }
+            SimulationEvent::FrameArrival { .. } => {}
+            SimulationEvent::CallCompletion { caller, result } => {
+                self.deliver_call_result(caller, result)
+            }
+            SimulationEvent::CallArrival(call) => self.dispatch_call(call),
+            SimulationEvent::RequestArrival {
+                request_id: ask,
+                node,
+                request,
+            } => self.deliver_request(ask, node, request),
+            SimulationEvent::ReplyArrival {
+                request_id: ask,
+                status,
+                body,
+            } => self.handle_reply(ask, status, &body),
+            SimulationEvent::WatchCheck => self.answer_ready_watches(),
+            SimulationEvent::DuplicateCommandArrival(id, body) => {
+                self.apply_duplicate_commands(&id, &body)
+            }
+            SimulationEvent::WorkerWakeup(id, at) => {
+                if self
+                    .workers
+                    .get(&id)
+                    .is_some_and(|w| w.next_wakeup_at == at)
+                {
+                    self.run_worker(&id);
                 }
             }
-            Step::Check => self.check_rules(),
-            Step::User(job) => self.user_turn(&job),
-            Step::Script(i) => {
+            SimulationEvent::InvariantCheck => self.check_invariants(),
+            SimulationEvent::UserWakeup(job) => self.advance_user(&job),
+            SimulationEvent::ScriptLine(i) => {
                 let line = self.script[i].1.clone();
-                crate::trace::act(self, &line);
+                crate::trace::execute_line(self, &line);
             }
         }
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        if self.lives[node] == life && self.nodes[node].is_some() {
-            self.give(node, Event::Tick);
-            self.at(self.now + TICK_MS, Step::Tick(node, life));
+    fn tick_node(&mut self, node: usize, life: u64) {
+        if self.incarnations[node] == life && self.nodes[node].is_some() {
+            self.deliver_event(node, Event::Tick);
+            self.schedule(
+                self.now + NODE_TICK_INTERVAL_MS,
+                SimulationEvent::NodeTick(node, life),
+            );
         }
-        if self.state.expire(self.now) {
-            self.wake_watches();
+        if self.store.expire_leases(self.now) {
+            self.answer_ready_watches();
         }
     }
 
-    fn arrive(&mut self, call: Call) {
+    fn dispatch_call(&mut self, call: OutboundCall) {
         match call.target.clone() {
-            Target::State => self.at_state(call),
-            Target::Cloud => self.at_cloud(&call),
-            Target::Worker(addr) => self.at_worker(call, &addr),
+            Target::Store => self.handle_store_call(call),
+            Target::Cloud => self.handle_cloud_call(&call),
+            Target::Worker(addr) => self.handle_worker_call(call, &addr),
         }
     }
 
-    pub(super) fn plan_check(&mut self) {
-        self.at(self.now + CHECK_MS, Step::Check);
+    pub(super) fn schedule_invariant_check(&mut self) {
+        self.schedule(
+            self.now + INVARIANT_CHECK_INTERVAL_MS,
+            SimulationEvent::InvariantCheck,
+        );
     }
 
-    fn check_rules(&mut self) {
-        self.gangs_turn();
-        self.check_cancelled();
-        let calm = self.calm.is_some_and(|calm| self.now >= calm);
-        if calm && self.now % ROOM_CHECK_MS == 0 {
-            self.check_room();
+    fn check_invariants(&mut self) {
+        self.advance_gangs();
+        self.check_cancelled_tasks();
+        let calm = self.faults_over_at.is_some_and(|calm| self.now >= calm);
+        if calm && self.now % CAPACITY_CHECK_INTERVAL_MS == 0 {
+            self.check_waits_beside_capacity();
         }
-        self.plan_check();
+        self.schedule_invariant_check();
     }
 }
--- a/crates/testkit/src/sim/fault.rs
+++ b/crates/testkit/src/sim/fault.rs
@@ -1,181 +1,191 @@
 //! Failures: traps on transactions, late and slow messages, machines that hang, die or restart.
-use super::event::Call;
-use super::user::Asker;
-use super::{Sim, STATE_MS};
-use crate::outside::{Limits, Ms};
+use super::event::OutboundCall;
+use super::user::Requester;
+use super::{Simulation, STORE_LATENCY_MS};
+use crate::outside::{Ms, StoreLimits};
 use stonegw_wire::msg::*;
 
 /// What a trap does to the transaction that it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TrapKind {
+pub enum TransactionFaultKind {
     /// The process ends right before it sends it.
     CrashBefore,
     /// The process ends right after the state service applied it.
     CrashAfter,
     /// The state service applies it, but the answer is lost.
-    LoseAnswer,
+    DropResponse,
     /// It reaches the state service only so much later.
-    Delay,
+    DelayRequest,
     /// The state service applies it, but its answer arrives only so much later.
-    SlowAnswer,
+    DelayResponse,
 }
 
 /// A failure that waits for a transaction whose body holds a text.
 #[derive(Clone, Debug)]
-pub struct Trap {
-    pub kind: TrapKind,
+pub struct TransactionFault {
+    pub kind: TransactionFaultKind,
     pub key: String,
     /// How much later the message arrives, or the process is back.
-    pub ms: Ms,
+    pub delay_ms: Ms,
 }
 
 /// Values from one bound to the other that differ much from one to the next, always the same.
-pub(super) fn spaced(n: u64, from: Ms, to: Ms) -> Ms {
+pub(super) fn deterministic_spread(n: u64, from: Ms, to: Ms) -> Ms {
     from + n * 37 % 100 * (to - from) / 100
 }
 
-impl Sim {
+impl Simulation {
     /// The first trap of that kind which waits for this transaction; it is used up.
-    pub(super) fn trapped(&mut self, call: &Call, kind: TrapKind) -> Option<Trap> {
+    pub(super) fn take_transaction_fault(
+        &mut self,
+        call: &OutboundCall,
+        kind: TransactionFaultKind,
+    ) -> Option<TransactionFault> {
         if call.path != "/multi" {
             return None;
         }
         let text = String::from_utf8_lossy(&call.body);
-        let waits = |t: &Trap| t.kind == kind && text.contains(t.key.as_str());
-        let at = self.traps.iter().position(waits)?;
-        Some(self.traps.remove(at))
+        let waits = |t: &TransactionFault| t.kind == kind && text.contains(t.key.as_str());
+        let at = self.transaction_faults.iter().position(waits)?;
+        Some(self.transaction_faults.remove(at))
     }
 
     /// How late this transaction arrives, if it is one of the late ones: 2 to 12 s, which is after
     /// its sender gave it up.
-    pub(super) fn late_write(&mut self) -> Option<Ms> {
-        let (every, _) = self.late_writes.filter(|l| self.now < l.1)?;
-        self.writes_seen += 1;
-        (self.writes_seen % every == 0).then(|| {
-            let lag = spaced(self.writes_seen / every, 2_000, 12_000);
-            self.note(format!("a transaction is {} s late", lag as f64 / 1e3));
+    pub(super) fn next_transaction_delay(&mut self) -> Option<Ms> {
+        let (every, _) = self.delayed_transactions.filter(|l| self.now < l.1)?;
+        self.delayed_transaction_candidates += 1;
+        (self.delayed_transaction_candidates % every == 0).then(|| {
+            let lag =
+                deterministic_spread(self.delayed_transaction_candidates / every, 2_000, 12_000);
+            self.append_log(format!("a transaction is {} s late", lag as f64 / 1e3));
             lag
         })
     }
 
     /// Whether the answer to this transaction, which is carried out, is one of the lost ones.
-    pub(super) fn lost_answer(&mut self) -> bool {
-        let Some((every, _)) = self.lost_answers.filter(|l| self.now < l.1) else {
+    pub(super) fn should_drop_response(&mut self) -> bool {
+        let Some((every, _)) = self.dropped_responses.filter(|l| self.now < l.1) else {
             return false;
         };
-        self.answers_seen += 1;
-        let lost = self.answers_seen % every == 0;
+        self.dropped_response_candidates += 1;
+        let lost = self.dropped_response_candidates % every == 0;
         if lost {
-            self.note("the answer to a transaction is lost".into());
+            self.append_log("the answer to a transaction is lost".into());
         }
         lost
     }
 
     /// How much later the job that arrives now is cancelled, if it is one of those.
-    pub fn cancel_lag(&mut self) -> Option<Ms> {
-        let (every, within) = self.cancel_share?;
-        self.jobs_seen += 1;
-        (self.jobs_seen % every == 0).then(|| spaced(self.jobs_seen / every, 0, within))
+    pub fn next_cancellation_delay(&mut self) -> Option<Ms> {
+        let (every, within) = self.cancellation_share?;
+        self.cancellation_candidates += 1;
+        (self.cancellation_candidates % every == 0)
+            .then(|| deterministic_spread(self.cancellation_candidates / every, 0, within))
     }
 
     /// How much longer the state service takes each way.
-    pub(super) fn state_lag(&self) -> Ms {
-        self.slow_state
+    pub(super) fn extra_store_latency(&self) -> Ms {
+        self.store_slowdown
             .filter(|l| self.now < l.1)
             .map_or(0, |l| l.0 / 2)
     }
 
     /// How much later and where a copy of this report arrives, if it is one of those.
-    pub(super) fn late_report(&mut self) -> Option<(Ms, usize)> {
-        let (every, from, to, _) = self.late_reports.filter(|l| self.now < l.3)?;
-        self.reports_seen += 1;
-        let copy = self.reports_seen / every;
+    pub(super) fn next_heartbeat_duplicate(&mut self) -> Option<(Ms, usize)> {
+        let (every, from, to, _) = self.duplicated_heartbeats.filter(|l| self.now < l.3)?;
+        self.duplicated_heartbeat_candidates += 1;
+        let copy = self.duplicated_heartbeat_candidates / every;
         let node = copy as usize % self.nodes.len();
-        (self.reports_seen % every == 0).then(|| (spaced(copy, from, to), node))
+        (self.duplicated_heartbeat_candidates % every == 0)
+            .then(|| (deterministic_spread(copy, from, to), node))
     }
 
     /// The machine stands still, with all that is on it, and goes on later.
-    pub fn hang(&mut self, id: &str, lag: Ms) {
+    pub fn hang_machine(&mut self, id: &str, lag: Ms) {
         let until = self.now + lag;
         if let Some(w) = self.workers.get_mut(id) {
-            w.hangs_until = until;
+            w.hung_until = until;
             for t in w.tasks.values_mut() {
-                t.until = t.until.saturating_add(lag);
+                t.state_ends_at = t.state_ends_at.saturating_add(lag);
             }
         }
     }
 
     /// The machine stops with all that is on it; the cloud still lists it.
-    pub fn die(&mut self, id: &str) {
+    pub fn crash_machine(&mut self, id: &str) {
         self.workers.remove(id);
-        self.dead.insert(id.to_owned());
+        self.crashed_machines.insert(id.to_owned());
     }
 
     /// The cloud takes the machine back with all that is on it, and lists it no more.
-    pub fn take(&mut self, id: &str) {
+    pub fn evict_machine(&mut self, id: &str) {
         self.workers.remove(id);
         self.cloud.machines.remove(id);
     }
 
     /// The cloud will take the machine back so much later, and says so.
-    pub fn recall(&mut self, id: &str, lag: Ms) {
+    pub fn schedule_eviction(&mut self, id: &str, lag: Ms) {
         let now = self.now;
         if let Some(w) = self.workers.get_mut(id) {
-            w.taken_at = Some(now + lag);
-            w.changed = true;
+            w.eviction_at = Some(now + lag);
+            w.has_unreported_changes = true;
         }
-        self.worker_due(id, now);
-        self.later(lag, vec!["take".into(), id.to_owned()]);
+        self.schedule_worker_wakeup(id, now);
+        self.schedule_line_after(lag, vec!["take".into(), id.to_owned()]);
     }
 
     /// The state service takes less from now on; no node is told.
-    pub fn lower_limits(&mut self, value_bytes: usize, txn_ops: usize, write_rps: f64) {
-        self.state.limits = Limits {
-            value_bytes,
-            txn_ops,
-            write_rps,
+    pub fn lower_store_limits(&mut self, value_bytes: usize, txn_ops: usize, write_rps: f64) {
+        self.store.limits = StoreLimits {
+            max_value_bytes: value_bytes,
+            max_transaction_writes: txn_ops,
+            max_writes_per_second: write_rps,
         };
     }
 
     /// Its worker kills and forgets everything.
-    pub fn lose_session(&mut self, id: &str) {
+    pub fn begin_new_incarnation(&mut self, id: &str) {
         let now = self.now;
         if let Some(w) = self.workers.get_mut(id) {
-            w.lose_session(now);
+            w.begin_new_incarnation(now);
         }
-        self.worker_due(id, now);
+        self.schedule_worker_wakeup(id, now);
     }
 
     /// Its process ends and is back at once: a new session, and nothing of the old one.
     pub fn restart_machine(&mut self, id: &str) {
-        self.lose_session(id);
+        self.begin_new_incarnation(id);
         if let Some(w) = self.workers.get_mut(id) {
-            w.images.clear();
+            w.image_ready_at.clear();
         }
     }
 
     /// Delivers the kept report to a node; nobody waits for the answer.
-    pub fn deliver_kept(&mut self, node: usize) {
-        if let Some(body) = self.kept.pop_front() {
-            self.next_ask += 1;
-            self.asks.insert(self.next_ask, Asker::Probe);
-            self.ask(self.next_ask, node, "POST", "/agent/beat", body);
+    pub fn deliver_withheld_heartbeat(&mut self, node: usize) {
+        if let Some(body) = self.withheld_heartbeats.pop_front() {
+            self.next_request_id += 1;
+            self.pending_requests
+                .insert(self.next_request_id, Requester::LogOnly);
+            self.send_request(self.next_request_id, node, "POST", "/agent/beat", body);
         }
     }
 
     /// A watch that was held while its node was refused tells, late, the first change that it saw.
-    pub fn deliver_watch(&mut self, node: usize) {
+    pub fn deliver_stale_watch(&mut self, node: usize) {
         for watch in std::mem::take(&mut self.watches) {
-            let mut changes = self.state.changes(&watch.prefix, watch.since);
+            let mut changes = self
+                .store
+                .changes_since(&watch.prefix, watch.since_revision);
             changes.events.truncate(1);
-            let first = changes.events.first().map(change_version);
+            let first = changes.events.first().map(change_revision);
             match first.filter(|_| watch.caller.node == node) {
                 Some(version) => {
                     changes.revision = version;
-                    self.note(format!(
+                    self.append_log(format!(
                         "a held watch of node-{node} tells revision {version}"
                     ));
-                    self.answer(watch.caller, STATE_MS, (200, encode(&changes)));
+                    self.schedule_response(watch.caller, STORE_LATENCY_MS, (200, encode(&changes)));
                 }
                 None => self.watches.push(watch),
             }
@@ -183,7 +193,12 @@
     }
 }
 
-fn change_version<V>(change: &Change<V>) -> u64 {
-    let (Change::Put { version, .. } | Change::Delete { version, .. }) = change;
+fn change_revision<V>(change: &WatchEvent<V>) -> u64 {
+    let (WatchEvent::Put {
+        revision: version, ..
+    }
+    | WatchEvent::Delete {
+        revision: version, ..
+    }) = change;
     *version
 }
--- a/crates/testkit/src/sim/node.rs
+++ b/crates/testkit/src/sim/node.rs
@@ -1,36 +1,36 @@
 //! Controller nodes: the real cores, started and ended, given events, their actions carried out.
-use super::event::{Call, Caller, Step};
-use super::fault::TrapKind;
-use super::user::Asker;
-use super::{Sim, STATE_MS};
-use crate::outside::{Answer, Ms};
+use super::event::{Caller, OutboundCall, SimulationEvent};
+use super::fault::TransactionFaultKind;
+use super::user::Requester;
+use super::{Simulation, STORE_LATENCY_MS};
+use crate::outside::{Ms, Response};
 use stonegw_control::api::{Action, CallError, Event, Link, Target};
 use stonegw_control::node::{Node, Role};
 use stonegw_wire::frame::Frame;
 use stonegw_wire::http::Request;
 
-const CLOUD_MS: Ms = 80;
-const LINK_MS: Ms = 2;
+const CLOUD_LATENCY_MS: Ms = 80;
+const LINK_SETUP_MS: Ms = 2;
 /// Links dialled to a node are numbered by who dialled, in which life.
-const LIVES: u64 = 1_000;
+const LINK_NUMBER_STRIDE: u64 = 1_000;
 
-impl Sim {
+impl Simulation {
     /// The node that leads, the first if there are several.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Option<Node>| n.as_ref().is_some_and(|n| n.role == Role::Leading);
+        let leads = |n: &Option<Node>| n.as_ref().is_some_and(|n| n.role == Role::Leader);
         self.nodes.iter().position(leads)
     }
 
     /// The process ends, and is back later.
-    pub fn crash(&mut self, node: usize, back_ms: Ms) {
+    pub fn crash_node(&mut self, node: usize, back_ms: Ms) {
         if self.nodes[node].take().is_some() {
-            self.note(format!("node-{node} ends"));
-            self.lives[node] += 1;
+            self.append_log(format!("node-{node} ends"));
+            self.incarnations[node] += 1;
             self.pauses.remove(&node);
-            self.at(self.now + back_ms, Step::Restart(node));
+            self.schedule(self.now + back_ms, SimulationEvent::NodeStart(node));
             for other in 0..self.nodes.len() {
-                if let Some(link) = self.link(other, node) {
-                    self.give(other, Event::LinkDown(Link::Out(link)));
+                if let Some(link) = self.link_index(other, node) {
+                    self.deliver_event(other, Event::LinkDown(Link::Outbound(link)));
                 }
             }
         }
@@ -41,184 +41,229 @@
         if self.nodes[node].is_some() {
             return;
         }
-        let life = self.lives[node];
+        let life = self.incarnations[node];
         let seed = 77 + node as u64 * 1_000 + life;
         self.nodes[node] = Some(Node::new(self.settings[node].clone(), seed));
-        self.note(format!("node-{node} starts"));
-        self.give(node, Event::Start);
-        self.at(self.now, Step::Tick(node, life));
+        self.append_log(format!("node-{node} starts"));
+        self.deliver_event(node, Event::Start);
+        self.schedule(self.now, SimulationEvent::NodeTick(node, life));
         for other in (0..self.nodes.len()).filter(|n| *n != node) {
-            let when = self.now + LINK_MS;
-            self.at(when, Step::LinkUp(node, life, other));
-            self.at(when, Step::LinkUp(other, self.lives[other], node));
+            let when = self.now + LINK_SETUP_MS;
+            self.schedule(when, SimulationEvent::LinkUp(node, life, other));
+            self.schedule(
+                when,
+                SimulationEvent::LinkUp(other, self.incarnations[other], node),
+            );
         }
     }
 
-    pub(super) fn link_up(&mut self, node: usize, life: u64, other: usize) {
-        let open = self.nodes[other].is_some() && !self.links_cut(node, other);
-        if self.lives[node] == life && open {
-            let link = self.link(node, other).expect("known");
-            self.give(node, Event::LinkUp(Link::Out(link)));
+    pub(super) fn bring_link_up(&mut self, node: usize, life: u64, other: usize) {
+        let open = self.nodes[other].is_some() && !self.are_links_down(node, other);
+        if self.incarnations[node] == life && open {
+            let link = self.link_index(node, other).expect("known");
+            self.deliver_event(node, Event::LinkUp(Link::Outbound(link)));
         }
     }
 
     /// A request reaches a node, or fails to connect.
-    pub(super) fn asked(&mut self, ask: u64, node: usize, request: Request) {
+    pub(super) fn deliver_request(&mut self, ask: u64, node: usize, request: Request) {
         if self.nodes[node].is_none() {
-            return self.replied(ask, 0, &[]);
+            return self.handle_reply(ask, 0, &[]);
         }
-        self.give(node, Event::Request { id: ask, request });
+        self.deliver_event(
+            node,
+            Event::Request {
+                request_id: ask,
+                request,
+            },
+        );
     }
 
-    pub(super) fn call_done(&mut self, caller: Caller, result: Result<Answer, CallError>) {
-        let Caller { node, life, call } = caller;
-        if self.lives[node] == life && self.open.remove(&(node, call)).is_some() {
-            self.give(node, Event::CallDone { call, result });
+    pub(super) fn deliver_call_result(
+        &mut self,
+        caller: Caller,
+        result: Result<Response, CallError>,
+    ) {
+        let Caller {
+            node,
+            incarnation: life,
+            call_id: call,
+        } = caller;
+        if self.incarnations[node] == life && self.calls_in_flight.remove(&(node, call)).is_some() {
+            self.deliver_event(
+                node,
+                Event::CallDone {
+                    call_id: call,
+                    result,
+                },
+            );
         }
     }
 
     /// Hands a node one event and carries out what it answers with.
-    pub(super) fn give(&mut self, node: usize, event: Event) {
-        if let Some(event) = self.keep_for_later(node, event) {
-            self.give_all(node, vec![event]);
+    pub(super) fn deliver_event(&mut self, node: usize, event: Event) {
+        if let Some(event) = self.queue_if_paused(node, event) {
+            self.deliver_events(node, vec![event]);
         }
     }
 
     /// Hands a node what came together, and carries out what it answers with.
-    pub(super) fn give_all(&mut self, node: usize, events: Vec<Event>) {
+    pub(super) fn deliver_events(&mut self, node: usize, events: Vec<Event>) {
         let now = self.node_time(node);
         let Some(n) = self.nodes[node].as_mut() else {
             return;
         };
-        let led = n.role == Role::Leading;
+        let led = n.role == Role::Leader;
         let actions = n.handle(now, events);
-        let leads = n.role == Role::Leading;
+        let leads = n.role == Role::Leader;
         if leads != led {
-            self.deposed_in_pause.remove(&node);
+            self.deposed_while_paused.remove(&node);
             let what = if leads { "leads" } else { "leads no more" };
-            self.note(format!("node-{node} {what}"));
+            self.append_log(format!("node-{node} {what}"));
         }
         for action in actions {
             if self.nodes[node].is_none() {
                 return;
             }
-            self.perform(node, action);
+            self.perform_action(node, action);
         }
     }
 
-    fn perform(&mut self, node: usize, action: Action) {
+    fn perform_action(&mut self, node: usize, action: Action) {
         match action {
             Action::Reply {
-                id, status, body, ..
-            } => self.node_replies(node, id, status, body),
-            Action::Send { to, frame } => self.node_sends(node, to, frame),
+                request_id: id,
+                status,
+                body,
+                ..
+            } => self.handle_node_reply(node, id, status, body),
+            Action::SendFrame { to, frame } => self.send_frame(node, to, frame),
             Action::Call {
-                call,
+                call_id: call,
                 target,
                 method,
                 path,
                 body,
                 timeout_ms,
             } => {
-                let life = self.lives[node];
-                let caller = Caller { node, life, call };
-                let call = Call {
+                let life = self.incarnations[node];
+                let caller = Caller {
+                    node,
+                    incarnation: life,
+                    call_id: call,
+                };
+                let call = OutboundCall {
                     caller,
                     target,
                     method,
                     path,
                     body,
                 };
-                self.node_calls(call, timeout_ms);
+                self.start_call(call, timeout_ms);
             }
         }
     }
 
-    fn node_replies(&mut self, node: usize, ask: u64, status: u16, body: Vec<u8>) {
-        if status == 200 && matches!(self.asks.get(&ask), Some(Asker::Worker(_))) {
-            self.check_acts_after_pause(node, "a lease is renewed");
-            self.given(node, &body);
+    fn handle_node_reply(&mut self, node: usize, ask: u64, status: u16, body: Vec<u8>) {
+        if status == 200 && matches!(self.pending_requests.get(&ask), Some(Requester::Worker(_))) {
+            self.check_deposed_action(node, "a lease is renewed");
+            self.check_sent_commands(node, &body);
         }
-        let when = self.now + self.wire_ms;
-        self.at(when, Step::Reply { ask, status, body });
+        let when = self.now + self.network_latency_ms;
+        self.schedule(
+            when,
+            SimulationEvent::ReplyArrival {
+                request_id: ask,
+                status,
+                body,
+            },
+        );
     }
 
-    fn node_sends(&mut self, node: usize, to: Link, frame: Frame) {
-        let Some((other, from)) = self.other_end(node, to) else {
+    fn send_frame(&mut self, node: usize, to: Link, frame: Frame) {
+        let Some((other, from)) = self.resolve_link(node, to) else {
             return;
         };
-        if self.nodes_apart(node, other) {
+        if self.are_nodes_partitioned(node, other) {
             return;
         }
         let pair = (node.min(other), node.max(other));
-        let held = self.hold_frames.get(&pair).copied().unwrap_or(0);
-        let step = Step::Frame {
-            to: other,
-            life: self.lives[other],
-            from,
+        let held = self.frames_held_until.get(&pair).copied().unwrap_or(0);
+        let step = SimulationEvent::FrameArrival {
+            receiver: other,
+            receiver_incarnation: self.incarnations[other],
+            from_link: from,
             frame,
         };
-        self.at(held.max(self.now + self.wire_ms), step);
+        self.schedule(held.max(self.now + self.network_latency_ms), step);
     }
 
     /// The node at the other end of a link, and the link's name there; none if it ended since.
-    fn other_end(&self, node: usize, link: Link) -> Option<(usize, Link)> {
+    fn resolve_link(&self, node: usize, link: Link) -> Option<(usize, Link)> {
         match link {
-            Link::Out(i) => {
+            Link::Outbound(i) => {
                 let name = &self.settings[node].peers[i];
-                let other = self.settings.iter().position(|s| s.node == *name);
-                let from = Link::In(self.lives[node] * LIVES + node as u64);
+                let other = self.settings.iter().position(|s| s.node_name == *name);
+                let from =
+                    Link::Inbound(self.incarnations[node] * LINK_NUMBER_STRIDE + node as u64);
                 Some((other.expect("known"), from))
             }
-            Link::In(number) => {
-                let (life, other) = (number / LIVES, (number % LIVES) as usize);
-                let back = self.link(other, node).expect("known");
-                (life == self.lives[other]).then_some((other, Link::Out(back)))
+            Link::Inbound(number) => {
+                let (life, other) = (
+                    number / LINK_NUMBER_STRIDE,
+                    (number % LINK_NUMBER_STRIDE) as usize,
+                );
+                let back = self.link_index(other, node).expect("known");
+                (life == self.incarnations[other]).then_some((other, Link::Outbound(back)))
             }
         }
     }
 
-    fn node_calls(&mut self, call: Call, timeout_ms: Ms) {
+    fn start_call(&mut self, call: OutboundCall, timeout_ms: Ms) {
         let caller = call.caller;
-        self.check_call_after_pause(&call);
-        if let Some(trap) = self.trapped(&call, TrapKind::CrashBefore) {
-            return self.crash(caller.node, trap.ms);
+        self.check_deposed_call(&call);
+        if let Some(trap) = self.take_transaction_fault(&call, TransactionFaultKind::CrashBefore) {
+            return self.crash_node(caller.node, trap.delay_ms);
         }
-        let lag = self.call_lag(&call);
+        let lag = self.call_latency(&call);
         if call.path == "/do" {
-            self.given(caller.node, &call.body);
+            self.check_sent_commands(caller.node, &call.body);
         }
-        self.open.insert((caller.node, caller.call), caller.life);
-        let timeout = Step::Answer {
+        self.calls_in_flight
+            .insert((caller.node, caller.call_id), caller.incarnation);
+        let timeout = SimulationEvent::CallCompletion {
             caller,
-            result: Err(CallError::Unknown),
+            result: Err(CallError::OutcomeUnknown),
         };
-        self.at(self.now + timeout_ms, timeout);
-        self.at(self.now + lag, Step::Arrive(call));
+        self.schedule(self.now + timeout_ms, timeout);
+        self.schedule(self.now + lag, SimulationEvent::CallArrival(call));
     }
 
     /// How long a call takes to arrive.
-    fn call_lag(&mut self, call: &Call) -> Ms {
+    fn call_latency(&mut self, call: &OutboundCall) -> Ms {
         let mut lag = match call.target {
-            Target::State => STATE_MS,
-            Target::Cloud => CLOUD_MS,
-            Target::Worker(_) => self.wire_ms,
+            Target::Store => STORE_LATENCY_MS,
+            Target::Cloud => CLOUD_LATENCY_MS,
+            Target::Worker(_) => self.network_latency_ms,
         };
-        if let Some(trap) = self.trapped(call, TrapKind::Delay) {
-            self.note(format!("a transaction on {} is held back", trap.key));
-            lag = trap.ms;
+        if let Some(trap) = self.take_transaction_fault(call, TransactionFaultKind::DelayRequest) {
+            self.append_log(format!("a transaction on {} is held back", trap.key));
+            lag = trap.delay_ms;
         }
         if call.path == "/multi" {
-            lag = self.late_write().unwrap_or(lag);
+            lag = self.next_transaction_delay().unwrap_or(lag);
         }
         match call.target {
-            Target::State => lag + self.state_lag(),
+            Target::Store => lag + self.extra_store_latency(),
             _ => lag,
         }
     }
 
-    pub(super) fn answer(&mut self, caller: Caller, lag: Ms, answer: Answer) {
+    pub(super) fn schedule_response(&mut self, caller: Caller, lag: Ms, answer: Response) {
         let result = Ok(answer);
-        self.at(self.now + lag, Step::Answer { caller, result });
+        self.schedule(
+            self.now + lag,
+            SimulationEvent::CallCompletion { caller, result },
+        );
     }
 }
--- a/crates/testkit/src/trace/act.rs
+++ b/crates/testkit/src/trace/act.rs
@@ -1,68 +1,70 @@
 //! Carries out one line of a trace.
-use super::expect::expect;
-use super::odd::odd;
-use super::words::{job, machines, ms, ms_or, one_in, targets};
+use super::expect::check_expectation;
+use super::odd::send_malformed_request;
+use super::words::{
+    parse_job, parse_ms, parse_ms_or, parse_share, resolve_machines, resolve_nodes,
+};
 use crate::outside::Ms;
-use crate::sim::{Sim, Trap, TrapKind};
+use crate::sim::{Simulation, TransactionFault, TransactionFaultKind};
 
 /// A process that ends is back after so long if the line does not say.
-const BACK_MS: Ms = 4_000;
+const DEFAULT_RESTART_MS: Ms = 4_000;
 
-fn word(line: &[String], i: usize) -> &str {
+fn word_at(line: &[String], i: usize) -> &str {
     line.get(i).map_or("", String::as_str)
 }
 
 /// Carries out one line of a trace, without its time.
-pub(crate) fn act(sim: &mut Sim, line: &[String]) {
+pub(crate) fn execute_line(sim: &mut Simulation, line: &[String]) {
     let text = line.join(" ");
-    match word(line, 0) {
-        "submit" => sim.note(text.clone()),
+    match word_at(line, 0) {
+        "submit" => sim.append_log(text.clone()),
         "arrive" => {}
         w if w.starts_with("expect") => {}
-        _ => sim.note(format!("-- {text}")),
+        _ => sim.append_log(format!("-- {text}")),
     }
-    let known = expect(sim, line)
-        || user_event(sim, line)
-        || node_event(sim, line)
-        || state_event(sim, line)
-        || machine_event(sim, line)
-        || message_event(sim, line);
+    let known = check_expectation(sim, line)
+        || execute_user_event(sim, line)
+        || execute_node_event(sim, line)
+        || execute_store_event(sim, line)
+        || execute_machine_event(sim, line)
+        || execute_message_event(sim, line);
     assert!(known, "unknown event {text}");
 }
 
 /// What users do.
-fn user_event(sim: &mut Sim, line: &[String]) -> bool {
-    let id = word(line, 1);
-    match word(line, 0) {
+fn execute_user_event(sim: &mut Simulation, line: &[String]) -> bool {
+    let id = word_at(line, 1);
+    match word_at(line, 0) {
         "submit" => {
-            let (spec, run_ms) = job(&line[1..]);
-            sim.submit(spec, run_ms);
+            let (spec, run_ms) = parse_job(&line[1..]);
+            sim.submit_job(spec, run_ms);
         }
-        "arrive" => arrive(sim, line),
+        "arrive" => submit_recurring_job(sim, line),
         "cancel" => {
             if let Some(j) = sim.jobs.get_mut(id) {
-                j.cancel_asked = true;
+                j.cancel_requested = true;
             }
         }
-        "broken" => sim.jobs.get_mut(id).expect("job").broken = true,
-        "mended" => sim.jobs.get_mut(id).expect("job").broken = false,
+        "broken" => sim.jobs.get_mut(id).expect("job").tasks_fail = true,
+        "mended" => sim.jobs.get_mut(id).expect("job").tasks_fail = false,
         "cancel-now" => {
-            for n in targets(sim, word(line, 2)) {
-                sim.cancel_now(id, n);
+            for n in resolve_nodes(sim, word_at(line, 2)) {
+                sim.cancel_job_now(id, n);
             }
         }
         "cancel-at-end" => {
-            let lag = ms_or(word(line, 2), 0);
-            sim.jobs.get_mut(id).expect("job").cancel_at_end = Some(lag);
+            let lag = parse_ms_or(word_at(line, 2), 0);
+            sim.jobs.get_mut(id).expect("job").cancel_after_end_ms = Some(lag);
         }
         "cancel-share" => {
-            sim.cancel_share = Some((one_in(id), ms(word(line, 2))));
+            sim.cancellation_share = Some((parse_share(id), parse_ms(word_at(line, 2))));
         }
-        "close-looks" => sim.close_looks = Some(sim.now + ms(id)),
-        "odd" => odd(sim, line),
+        "close-looks" => sim.read_after_write_checks_until = Some(sim.now + parse_ms(id)),
+        "odd" => send_malformed_request(sim, line),
         "probe" => {
             let node = id.parse().expect("node");
-            sim.probe(node, word(line, 2), word(line, 3));
+            sim.send_probe_request(node, word_at(line, 2), word_at(line, 3));
         }
         _ => return false,
     }
@@ -70,50 +72,60 @@
 }
 
 /// `arrive EVERY N FIRST KIND TASKS [key value]...`: submits one, and plans the rest.
-fn arrive(sim: &mut Sim, line: &[String]) {
-    let left: usize = word(line, 2).parse().expect("number");
+fn submit_recurring_job(sim: &mut Simulation, line: &[String]) {
+    let left: usize = word_at(line, 2).parse().expect("number");
     if left == 0 {
         return;
     }
-    let first: usize = word(line, 3).parse().expect("number");
+    let first: usize = word_at(line, 3).parse().expect("number");
     let mut job = line[2..].to_vec();
     job[0] = "submit".into();
     job[1] = format!("run-{}", first + left);
-    act(sim, &job);
-    if let Some(lag) = sim.cancel_lag() {
-        sim.later(lag, vec!["cancel".into(), job[1].clone()]);
+    execute_line(sim, &job);
+    if let Some(lag) = sim.next_cancellation_delay() {
+        sim.schedule_line_after(lag, vec!["cancel".into(), job[1].clone()]);
     }
     let mut next = line.to_vec();
     next[2] = (left - 1).to_string();
-    sim.later(ms(word(line, 1)), next);
+    sim.schedule_line_after(parse_ms(word_at(line, 1)), next);
 }
 
 /// What happens to nodes and between them.
-fn node_event(sim: &mut Sim, line: &[String]) -> bool {
-    let who = word(line, 1);
-    match word(line, 0) {
+fn execute_node_event(sim: &mut Simulation, line: &[String]) -> bool {
+    let who = word_at(line, 1);
+    match word_at(line, 0) {
         "crash" => {
-            for n in targets(sim, who) {
-                sim.crash(n, ms_or(word(line, 2), BACK_MS));
+            for n in resolve_nodes(sim, who) {
+                sim.crash_node(n, parse_ms_or(word_at(line, 2), DEFAULT_RESTART_MS));
             }
         }
         "pause" => {
-            for n in targets(sim, who) {
-                sim.pause(n, ms(word(line, 2)), ms_or(word(line, 3), 0));
+            for n in resolve_nodes(sim, who) {
+                sim.pause_node(
+                    n,
+                    parse_ms(word_at(line, 2)),
+                    parse_ms_or(word_at(line, 3), 0),
+                );
             }
         }
         "lone" => {
-            let until = sim.now + ms(word(line, 2));
-            sim.lone = targets(sim, who).first().map(|n| (*n, until));
+            let until = sim.now + parse_ms(word_at(line, 2));
+            sim.isolated_node = resolve_nodes(sim, who).first().map(|n| (*n, until));
         }
         "cut-peers" => {
-            let (a, b) = (targets(sim, who), targets(sim, word(line, 2)));
-            sim.cut_peers(a[0], b[0], ms(word(line, 3)));
+            let (a, b) = (
+                resolve_nodes(sim, who),
+                resolve_nodes(sim, word_at(line, 2)),
+            );
+            sim.partition_peers(a[0], b[0], parse_ms(word_at(line, 3)));
         }
         "hold-frames" => {
-            let (a, b) = (targets(sim, who)[0], targets(sim, word(line, 2))[0]);
-            let until = sim.now + ms(word(line, 3));
-            sim.hold_frames.insert((a.min(b), a.max(b)), until);
+            let (a, b) = (
+                resolve_nodes(sim, who)[0],
+                resolve_nodes(sim, word_at(line, 2))[0],
+            );
+            let until = sim.now + parse_ms(word_at(line, 3));
+            sim.frames_held_until.insert((a.min(b), a.max(b)), until);
         }
         _ => return false,
     }
@@ -121,35 +133,38 @@
 }
 
 /// What the state service does.
-fn state_event(sim: &mut Sim, line: &[String]) -> bool {
-    let number = |i: usize| word(line, i).parse().expect("number");
-    match word(line, 0) {
-        "trap" => trap(sim, line),
+fn execute_store_event(sim: &mut Simulation, line: &[String]) -> bool {
+    let number = |i: usize| word_at(line, i).parse().expect("number");
+    match word_at(line, 0) {
+        "trap" => add_transaction_fault(sim, line),
         "refuse" => {
-            let until = sim.now + ms(word(line, 2));
-            for n in targets(sim, word(line, 1)) {
-                sim.state_out.insert(n, until);
+            let until = sim.now + parse_ms(word_at(line, 2));
+            for n in resolve_nodes(sim, word_at(line, 1)) {
+                sim.store_unavailable_until.insert(n, until);
             }
-            if word(line, 1) == "all" {
-                sim.state.outage_over(until);
+            if word_at(line, 1) == "all" {
+                sim.store.renew_all_leases(until);
             }
         }
         "slow-state" => {
-            let (lag, until) = (ms(word(line, 2)), sim.now + ms(word(line, 1)));
-            sim.slow_state = Some((lag, until));
+            let (lag, until) = (
+                parse_ms(word_at(line, 2)),
+                sim.now + parse_ms(word_at(line, 1)),
+            );
+            sim.store_slowdown = Some((lag, until));
         }
         "late-writes" => {
-            let until = sim.now + ms(word(line, 2));
-            sim.late_writes = Some((one_in(word(line, 1)), until));
+            let until = sim.now + parse_ms(word_at(line, 2));
+            sim.delayed_transactions = Some((parse_share(word_at(line, 1)), until));
         }
         "lost-answers" => {
-            let until = sim.now + ms(word(line, 2));
-            sim.lost_answers = Some((one_in(word(line, 1)), until));
+            let until = sim.now + parse_ms(word_at(line, 2));
+            sim.dropped_responses = Some((parse_share(word_at(line, 1)), until));
         }
-        "lower-limits" => sim.lower_limits(number(1), number(2), number(3) as f64),
+        "lower-limits" => sim.lower_store_limits(number(1), number(2), number(3) as f64),
         "deliver-watch" => {
-            for n in targets(sim, word(line, 1)) {
-                sim.deliver_watch(n);
+            for n in resolve_nodes(sim, word_at(line, 1)) {
+                sim.deliver_stale_watch(n);
             }
         }
         _ => return false,
@@ -157,89 +172,98 @@
     true
 }
 
-fn trap(sim: &mut Sim, line: &[String]) {
-    let kind = match word(line, 1) {
-        "crash-before" => TrapKind::CrashBefore,
-        "crash-after" => TrapKind::CrashAfter,
-        "lose-answer" => TrapKind::LoseAnswer,
-        "slow-answer" => TrapKind::SlowAnswer,
-        "delay" => TrapKind::Delay,
+fn add_transaction_fault(sim: &mut Simulation, line: &[String]) {
+    let kind = match word_at(line, 1) {
+        "crash-before" => TransactionFaultKind::CrashBefore,
+        "crash-after" => TransactionFaultKind::CrashAfter,
+        "lose-answer" => TransactionFaultKind::DropResponse,
+        "slow-answer" => TransactionFaultKind::DelayResponse,
+        "delay" => TransactionFaultKind::DelayRequest,
         other => panic!("unknown trap {other}"),
     };
-    let key = word(line, 2).to_owned();
-    let ms = ms_or(word(line, 3), BACK_MS);
-    sim.traps.push(Trap { kind, key, ms });
+    let key = word_at(line, 2).to_owned();
+    let ms = parse_ms_or(word_at(line, 3), DEFAULT_RESTART_MS);
+    sim.transaction_faults.push(TransactionFault {
+        kind,
+        key,
+        delay_ms: ms,
+    });
 }
 
 /// What happens to machines and their tasks.
-fn machine_event(sim: &mut Sim, line: &[String]) -> bool {
-    let event: fn(&mut Sim, &str, Ms) = match word(line, 0) {
-        "hang" => Sim::hang,
-        "die" => |sim, id, _| sim.die(id),
-        "recall" => Sim::recall,
-        "take" => |sim, id, _| sim.take(id),
+fn execute_machine_event(sim: &mut Simulation, line: &[String]) -> bool {
+    let event: fn(&mut Simulation, &str, Ms) = match word_at(line, 0) {
+        "hang" => Simulation::hang_machine,
+        "die" => |sim, id, _| sim.crash_machine(id),
+        "recall" => Simulation::schedule_eviction,
+        "take" => |sim, id, _| sim.evict_machine(id),
         "restart" => |sim, id, _| sim.restart_machine(id),
-        "new-session" => |sim, id, _| sim.lose_session(id),
+        "new-session" => |sim, id, _| sim.begin_new_incarnation(id),
         "notice" => |sim, id, ms| {
             let w = sim.workers.get_mut(id).expect("machine");
-            w.notice_s = Some(ms as f64 / 1e3);
+            w.eviction_notice_s = Some(ms as f64 / 1e3);
         },
         "fail" => {
-            sim.fail_task(word(line, 1));
+            sim.fail_task(word_at(line, 1));
             return true;
         }
         _ => return false,
     };
-    for id in machines(sim, word(line, 1)) {
-        event(sim, &id, ms_or(word(line, 2), 0));
+    for id in resolve_machines(sim, word_at(line, 1)) {
+        event(sim, &id, parse_ms_or(word_at(line, 2), 0));
     }
     true
 }
 
 /// What happens to messages between nodes and machines.
-fn message_event(sim: &mut Sim, line: &[String]) -> bool {
-    match word(line, 0) {
+fn execute_message_event(sim: &mut Simulation, line: &[String]) -> bool {
+    match word_at(line, 0) {
         "cut-zone" => {
-            let until = sim.now + ms(word(line, 3));
-            let node = word(line, 2).parse().expect("node");
-            sim.zone_cut = Some((word(line, 1).to_owned(), node, until));
+            let until = sim.now + parse_ms(word_at(line, 3));
+            let node = word_at(line, 2).parse().expect("node");
+            sim.zone_partition = Some((word_at(line, 1).to_owned(), node, until));
         }
         "late-reports" => {
-            let (from, to) = (ms(word(line, 2)), ms(word(line, 3)));
-            let until = sim.now + ms(word(line, 4));
-            sim.late_reports = Some((one_in(word(line, 1)), from, to, until));
+            let (from, to) = (parse_ms(word_at(line, 2)), parse_ms(word_at(line, 3)));
+            let until = sim.now + parse_ms(word_at(line, 4));
+            sim.duplicated_heartbeats = Some((parse_share(word_at(line, 1)), from, to, until));
         }
         "deliver-kept" => {
-            for n in targets(sim, word(line, 1)) {
-                sim.deliver_kept(n);
+            for n in resolve_nodes(sim, word_at(line, 1)) {
+                sim.deliver_withheld_heartbeat(n);
             }
         }
         "keep-report" => {
             let now = sim.now;
-            for id in machines(sim, word(line, 1)) {
-                let report = sim.workers.get_mut(&id).expect("machine").report(now);
-                sim.kept.push_back(stonegw_wire::msg::encode(&report));
+            for id in resolve_machines(sim, word_at(line, 1)) {
+                let report = sim
+                    .workers
+                    .get_mut(&id)
+                    .expect("machine")
+                    .build_heartbeat(now);
+                sim.withheld_heartbeats
+                    .push_back(stonegw_wire::msg::encode(&report));
             }
         }
         "cut" | "deaf" | "mute" | "hold-do" | "copy-reports" | "copy-do" => {
-            machine_messages(sim, line);
+            add_machine_message_fault(sim, line);
         }
         _ => return false,
     }
     true
 }
 
-fn machine_messages(sim: &mut Sim, line: &[String]) {
-    let lag = ms(word(line, 2));
+fn add_machine_message_fault(sim: &mut Simulation, line: &[String]) {
+    let lag = parse_ms(word_at(line, 2));
     let until = sim.now + lag;
-    for id in machines(sim, word(line, 1)) {
-        match word(line, 0) {
-            "cut" => sim.cut.insert(id, until),
-            "deaf" => sim.deaf.insert(id, until),
-            "mute" => sim.mute.insert(id, until),
-            "hold-do" => sim.hold_do.insert(id, until),
-            "copy-reports" => sim.copy_reports.insert(id, lag),
-            _ => sim.copy_do.insert(id, lag),
+    for id in resolve_machines(sim, word_at(line, 1)) {
+        match word_at(line, 0) {
+            "cut" => sim.machine_partitioned_until.insert(id, until),
+            "deaf" => sim.machine_unreachable_until.insert(id, until),
+            "mute" => sim.heartbeats_dropped_until.insert(id, until),
+            "hold-do" => sim.direct_commands_held_until.insert(id, until),
+            "copy-reports" => sim.heartbeat_copy_delay_ms.insert(id, lag),
+            _ => sim.direct_command_copy_delay_ms.insert(id, lag),
         };
     }
 }
--- a/crates/testkit/src/trace/mod.rs
+++ b/crates/testkit/src/trace/mod.rs
@@ -76,13 +76,13 @@
 mod odd;
 mod words;
 
-pub(crate) use act::act;
+pub(crate) use act::execute_line;
 
-use crate::sim::Sim;
-use words::ms;
+use crate::sim::Simulation;
+use words::parse_ms;
 
 /// Plays a scenario to its end.
-pub fn play(text: &str) -> Sim {
+pub fn play(text: &str) -> Simulation {
     let lines: Vec<Vec<String>> = text
         .lines()
         .map(|l| l.split('#').next().unwrap_or(""))
@@ -93,7 +93,7 @@
         .iter()
         .find(|l| l[0] == "nodes")
         .map_or(3, |l| l[1].parse().expect("nodes"));
-    let mut sim = Sim::new(nodes);
+    let mut sim = Simulation::new(nodes);
     let (mut script, mut until) = (vec![], 0);
     for l in lines {
         match l[0].as_str() {
@@ -103,25 +103,25 @@
                     sim.add_machine(&l[2]);
                 }
             }
-            "write-rps" => sim.write_rps(l[1].parse().expect("rate")),
-            "state-rps" => sim.state_rps(l[1].parse().expect("rate")),
+            "write-rps" => sim.set_write_rate_limit(l[1].parse().expect("rate")),
+            "state-rps" => sim.set_request_rate_limit(l[1].parse().expect("rate")),
             "team" => {
                 let n = |i: usize| l[i].parse().expect("cpus");
-                sim.team(&l[1], n(2), n(3));
+                sim.set_team_quota(&l[1], n(2), n(3));
             }
-            "txn-ops" => sim.txn_ops(l[1].parse().expect("changes")),
-            "value-bytes" => sim.value_bytes(l[1].parse().expect("bytes")),
-            "boot" => sim.cloud.boot_ms = ms(&l[1]),
+            "txn-ops" => sim.set_max_transaction_writes(l[1].parse().expect("changes")),
+            "value-bytes" => sim.set_max_value_bytes(l[1].parse().expect("bytes")),
+            "boot" => sim.cloud.boot_ms = parse_ms(&l[1]),
             "capacity" => sim.cloud.capacity = l[1].parse().expect("capacity"),
-            "until" => until = ms(&l[1]),
-            "wire" => sim.wire_ms = ms(&l[1]),
-            "spot-machines" => sim.spot_machines(),
-            "calm" => sim.calm = Some(ms(&l[1])),
-            when => script.push((ms(when), l[1..].to_vec())),
+            "until" => until = parse_ms(&l[1]),
+            "wire" => sim.network_latency_ms = parse_ms(&l[1]),
+            "spot-machines" => sim.offer_spot_machines(),
+            "calm" => sim.faults_over_at = Some(parse_ms(&l[1])),
+            when => script.push((parse_ms(when), l[1..].to_vec())),
         }
     }
     assert!(until > 0, "a trace needs an end");
-    sim.script(script);
-    sim.run(until);
+    sim.schedule_script(script);
+    sim.run_until(until);
     sim
 }
--- a/crates/testkit/tests/traces.rs
+++ b/crates/testkit/tests/traces.rs
@@ -1,23 +1,31 @@
 //! Plays every kept trace: no rule may break, and what each expects must hold.
 use std::path::PathBuf;
 
-fn play(name: &str) {
+fn play_trace(name: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("traces/{name}.trace"));
     let text = std::fs::read_to_string(&path).expect("trace");
     let sim = stonegw_testkit::trace::play(&text);
-    let bad = !sim.broken.is_empty() || !sim.failures.is_empty();
+    let bad = !sim.violations.is_empty() || !sim.expectation_failures.is_empty();
     if bad || std::env::var_os("SHOW_TRACE").is_some() {
         println!("{}", sim.log.join("\n"));
     }
-    assert!(sim.broken.is_empty(), "{name}: broken {:#?}", sim.broken);
-    assert!(sim.failures.is_empty(), "{name}: {:#?}", sim.failures);
+    assert!(
+        sim.violations.is_empty(),
+        "{name}: broken {:#?}",
+        sim.violations
+    );
+    assert!(
+        sim.expectation_failures.is_empty(),
+        "{name}: {:#?}",
+        sim.expectation_failures
+    );
 }
 
 macro_rules! traces {
     ($($test:ident),* $(,)?) => {
         $(#[test]
         fn $test() {
-            play(stringify!($test));
+            play_trace(stringify!($test));
         })*
 
         #[test]
--- a/crates/testkit/tests/work.rs
+++ b/crates/testkit/tests/work.rs
@@ -2,7 +2,7 @@
 //! the fleet, not with its square.
 
 /// Machines that the leader looked at while a fleet of that size is at work, nearly full.
-fn looks(machines: u32) -> u64 {
+fn count_machine_lookups(machines: u32) -> u64 {
     let text = format!(
         "machines {machines} a
          capacity {machines}
@@ -20,8 +20,8 @@
         arrays = machines / 10,
     );
     let sim = stonegw_testkit::trace::play(&text);
-    assert!(sim.broken.is_empty(), "{:#?}", sim.broken);
-    assert!(sim.jobs.values().filter(|j| j.begun.is_some()).count() > machines as usize / 4);
+    assert!(sim.violations.is_empty(), "{:#?}", sim.violations);
+    assert!(sim.jobs.values().filter(|j| j.started_at.is_some()).count() > machines as usize / 4);
     let node = sim.nodes[sim.leader().expect("a leader")].as_ref();
     let leader = node.and_then(|n| n.leader.as_ref()).expect("a leader");
     leader.machines.lookups()
@@ -29,7 +29,7 @@
 
 #[test]
 fn work_grows_with_the_fleet_and_not_with_its_square() {
-    let (small, large) = (looks(200), looks(800));
+    let (small, large) = (count_machine_lookups(200), count_machine_lookups(800));
     // Four times the fleet: four times the work, or sixteen times if it were the square.
     let times = large as f64 / small as f64;
     println!("{small} and {large}: {times:.1} times");
@@ -40,7 +40,7 @@
 #[test]
 fn work_at_four_thousand_machines_is_in_proportion() {
     let sizes = [500, 1_000, 2_000, 4_000];
-    let work = sizes.map(looks);
+    let work = sizes.map(count_machine_lookups);
     for (pair, machines) in work.windows(2).zip(&sizes[1..]) {
         let times = pair[1] as f64 / pair[0] as f64;
         println!("{machines} machines: {times:.2} times");
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as far as the protocol needs it: no pipelining, no transfer encodings. Parsing is
 //! incremental: feed what has arrived, get `None` until a whole message stands in the buffer.
-use stonegw_constants::{MAX_HEAD, MAX_HEADERS};
+use stonegw_constants::{MAX_HEADERS, MAX_HEAD_BYTES};
 
 /// Why a message is rejected, with the status to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// The request target, starting with `/`.
     pub path: String,
     /// Whether the connection closes after the answer.
-    pub close: bool,
+    pub connection_close: bool,
     /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
@@ -49,23 +49,23 @@
     /// The HTTP status.
     pub status: u16,
     /// Whether the connection closes after this response.
-    pub close: bool,
+    pub connection_close: bool,
     /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-struct Head<'a> {
-    first: &'a str,
-    len: usize,
-    body: Option<usize>,
-    close: bool,
-    http10: bool,
+struct MessageHead<'a> {
+    start_line: &'a str,
+    head_len: usize,
+    content_length: Option<usize>,
+    connection_close: bool,
+    is_http_1_0: bool,
 }
 
-fn head<'a>(buf: &'a [u8], max_body: usize) -> Result<Option<Head<'a>>, HttpError> {
-    let window = &buf[..buf.len().min(MAX_HEAD)];
+fn parse_head<'a>(buf: &'a [u8], max_body: usize) -> Result<Option<MessageHead<'a>>, HttpError> {
+    let window = &buf[..buf.len().min(MAX_HEAD_BYTES)];
     let Some(end) = window.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if buf.len() >= MAX_HEAD {
+        return if buf.len() >= MAX_HEAD_BYTES {
             Err(HttpError::HeadTooLarge)
         } else {
             Ok(None)
@@ -77,12 +77,12 @@
     if first.bytes().any(|b| b < b' ' || b == 0x7f) {
         return Err(HttpError::Malformed);
     }
-    let mut out = Head {
-        first,
-        len: end + 4,
-        body: None,
-        close: false,
-        http10: first.contains("HTTP/1.0"),
+    let mut out = MessageHead {
+        start_line: first,
+        head_len: end + 4,
+        content_length: None,
+        connection_close: false,
+        is_http_1_0: first.contains("HTTP/1.0"),
     };
     for (n, line) in lines.enumerate() {
         if n >= MAX_HEADERS {
@@ -102,31 +102,31 @@
                 return Err(HttpError::Malformed);
             }
             let n: usize = value.parse().map_err(|_| HttpError::BodyTooLarge)?;
-            if out.body.is_some_and(|old| old != n) {
+            if out.content_length.is_some_and(|old| old != n) {
                 return Err(HttpError::Malformed);
             }
             if n > max_body {
                 return Err(HttpError::BodyTooLarge);
             }
-            out.body = Some(n);
+            out.content_length = Some(n);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(HttpError::Encoding);
         } else if name.eq_ignore_ascii_case("connection") {
-            out.close |= value
+            out.connection_close |= value
                 .split(',')
                 .any(|t| t.trim().eq_ignore_ascii_case("close"));
         }
     }
-    out.close |= out.http10;
+    out.connection_close |= out.is_http_1_0;
     Ok(Some(out))
 }
 
 /// Returns the request and how many bytes it took.
 pub fn parse_request(buf: &[u8], max_body: usize) -> Result<Option<(Request, usize)>, HttpError> {
-    let Some(h) = head(buf, max_body)? else {
+    let Some(h) = parse_head(buf, max_body)? else {
         return Ok(None);
     };
-    let mut parts = h.first.split(' ');
+    let mut parts = h.start_line.split(' ');
     let (method, path, version) = match (parts.next(), parts.next(), parts.next(), parts.next()) {
         (Some(m), Some(p), Some(v), None) => (m, p, v),
         _ => return Err(HttpError::Malformed),
@@ -138,31 +138,31 @@
     {
         return Err(HttpError::Malformed);
     }
-    if h.body.is_none() && matches!(method, "POST" | "PUT" | "PATCH") {
+    if h.content_length.is_none() && matches!(method, "POST" | "PUT" | "PATCH") {
         return Err(HttpError::NoLength);
     }
-    let total = h.len + h.body.unwrap_or(0);
+    let total = h.head_len + h.content_length.unwrap_or(0);
     if buf.len() < total {
         return Ok(None);
     }
     let request = Request {
         method: method.into(),
         path: path.into(),
-        close: h.close,
-        body: buf[h.len..total].to_vec(),
+        connection_close: h.connection_close,
+        body: buf[h.head_len..total].to_vec(),
     };
     Ok(Some((request, total)))
 }
 
 /// Returns the response and how many bytes it took. A missing length means an empty body.
 pub fn parse_response(buf: &[u8], max_body: usize) -> Result<Option<(Response, usize)>, HttpError> {
-    let Some(h) = head(buf, max_body)? else {
+    let Some(h) = parse_head(buf, max_body)? else {
         return Ok(None);
     };
     let rest = h
-        .first
+        .start_line
         .strip_prefix("HTTP/1.1 ")
-        .or_else(|| h.first.strip_prefix("HTTP/1.0 "))
+        .or_else(|| h.start_line.strip_prefix("HTTP/1.0 "))
         .ok_or(HttpError::Malformed)?;
     let code = rest.get(..3).ok_or(HttpError::Malformed)?;
     if rest.as_bytes().get(3).is_some_and(|b| *b != b' ')
@@ -171,14 +171,14 @@
         return Err(HttpError::Malformed);
     }
     let status: u16 = code.parse().map_err(|_| HttpError::Malformed)?;
-    let total = h.len + h.body.unwrap_or(0);
+    let total = h.head_len + h.content_length.unwrap_or(0);
     if buf.len() < total {
         return Ok(None);
     }
     let response = Response {
         status,
-        close: h.close,
-        body: buf[h.len..total].to_vec(),
+        connection_close: h.connection_close,
+        body: buf[h.head_len..total].to_vec(),
     };
     Ok(Some((response, total)))
 }
--- a/crates/wire/src/msg/cloud.rs
+++ b/crates/wire/src/msg/cloud.rs
@@ -23,10 +23,10 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour.
     #[serde(rename = "hourly")]
-    pub price: f64,
+    pub hourly_price: f64,
     /// Price per hour as spot machine; `None`: not offered.
     #[serde(rename = "lowPrice", default)]
-    pub spot_price: Option<f64>,
+    pub hourly_spot_price: Option<f64>,
     /// Time from renting to readiness, s.
     #[serde(rename = "readyS")]
     pub boot_s: f64,
@@ -38,8 +38,8 @@
 impl MachineType {
     /// The current price per hour and cpu.
     pub fn price_per_cpu(&self, spot: bool) -> f64 {
-        let price = if spot { self.spot_price } else { None };
-        price.unwrap_or(self.price) / self.cpus.max(0.01)
+        let price = if spot { self.hourly_spot_price } else { None };
+        price.unwrap_or(self.hourly_price) / self.cpus.max(0.01)
     }
 }
 
@@ -48,15 +48,15 @@
 pub struct Catalog {
     /// The machine types.
     #[serde(rename = "builds")]
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hire {
+pub struct ProvisionRequest {
     /// Id of the request; a repeated request has the same.
     #[serde(rename = "hire")]
-    pub request: String,
+    pub request_id: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
@@ -65,17 +65,17 @@
     pub zone: String,
     /// Whether spot machines are wanted.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// Number of machines.
     pub count: u32,
 }
 
 /// A list of machine ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineIds {
     /// The machine ids.
     #[serde(rename = "hearths")]
-    pub machines: Vec<String>,
+    pub machine_ids: Vec<String>,
 }
 
 /// State of a rented machine.
@@ -83,7 +83,8 @@
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
     /// It starts up.
-    Booting,
+    #[serde(rename = "booting")]
+    Provisioning,
     /// It runs.
     Running,
     /// It has failed.
@@ -95,7 +96,7 @@
 pub struct ListedMachine {
     /// The machine id.
     #[serde(rename = "uid")]
-    pub id: String,
+    pub machine_id: String,
     /// IP address and port of its worker, once known.
     #[serde(default)]
     pub addr: Option<String>,
@@ -107,7 +108,7 @@
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// Its state.
     #[serde(rename = "phase")]
     pub state: MachineState,
@@ -118,11 +119,11 @@
 
 /// One page of the list of rented machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineList {
+pub struct MachineListPage {
     /// The machines on this page.
     #[serde(rename = "hearths")]
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(rename = "hasNext")]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/crates/wire/src/msg/encoding.rs
+++ b/crates/wire/src/msg/encoding.rs
@@ -21,9 +21,9 @@
 }
 
 /// The size in which the platform counts its limits.
-pub fn json_len<T: Serialize>(value: &T) -> usize {
-    struct Count(usize);
-    impl std::io::Write for Count {
+pub fn json_size_bytes<T: Serialize>(value: &T) -> usize {
+    struct ByteCounter(usize);
+    impl std::io::Write for ByteCounter {
         fn write(&mut self, b: &[u8]) -> std::io::Result<usize> {
             self.0 += b.len();
             Ok(b.len())
@@ -32,7 +32,7 @@
             Ok(())
         }
     }
-    let mut count = Count(0);
+    let mut count = ByteCounter(0);
     match serde_json::to_writer(&mut count, value) {
         Ok(()) => count.0,
         Err(_) => usize::MAX,
--- a/crates/wire/src/msg/state.rs
+++ b/crates/wire/src/msg/state.rs
@@ -9,7 +9,7 @@
     pub key: String,
     /// Version that the key must have; 0: it must not exist.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub revision: u64,
 }
 
 /// One change in a transaction.
@@ -26,7 +26,7 @@
         value: V,
         /// Lease with which the entry ends; `None`: it stays.
         #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
-        lease: Option<u64>,
+        lease_id: Option<u64>,
     },
     /// Deletes a key.
     Delete {
@@ -49,13 +49,14 @@
 
 /// The answer to a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TxnResponse {
     /// Revision of the store after it.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// Keys whose conditions did not hold.
     #[serde(default)]
-    pub failed: Vec<String>,
+    #[serde(rename = "failed")]
+    pub failed_keys: Vec<String>,
 }
 
 /// A stored entry.
@@ -69,21 +70,21 @@
     pub value: V,
     /// Version of the entry.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub revision: u64,
     /// Lease with which it ends; `None`: it stays.
     #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
-    pub lease: Option<u64>,
+    pub lease_id: Option<u64>,
 }
 
 /// One page of a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listing<V> {
+pub struct ListPage<V> {
     /// The entries on this page.
     #[serde(rename = "rows")]
-    pub items: Vec<Entry<V>>,
+    pub entries: Vec<Entry<V>>,
     /// Whether another page follows.
     #[serde(rename = "hasNext")]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the store that the page shows.
     #[serde(rename = "epoch")]
     pub revision: u64,
@@ -92,7 +93,7 @@
 /// One change in the answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change<V> {
+pub enum WatchEvent<V> {
     /// A key was set.
     Put {
         /// The key.
@@ -103,7 +104,7 @@
         value: V,
         /// Version of the entry.
         #[serde(rename = "stamp")]
-        version: u64,
+        revision: u64,
     },
     /// A key was deleted.
     Delete {
@@ -112,18 +113,18 @@
         key: String,
         /// Version of the deletion.
         #[serde(rename = "stamp")]
-        version: u64,
+        revision: u64,
     },
 }
 
 /// The answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Changes<V> {
+pub struct WatchResponse<V> {
     /// Revision up to which the changes are told.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// The changes, in order.
-    pub events: Vec<Change<V>>,
+    pub events: Vec<WatchEvent<V>>,
 }
 
 /// A request for a lease.
@@ -136,8 +137,8 @@
 
 /// A granted lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     /// The lease id.
     #[serde(rename = "tenancy")]
-    pub lease: u64,
+    pub lease_id: u64,
 }
--- a/crates/wire/src/msg/submission.rs
+++ b/crates/wire/src/msg/submission.rs
@@ -1,5 +1,5 @@
 //! Messages between users and the scheduler: jobs and their status.
-use super::encoding::{decode, json_len};
+use super::encoding::{decode, json_size_bytes};
 use serde::{Deserialize, Serialize};
 
 /// How the tasks of a job belong together.
@@ -53,7 +53,7 @@
     pub priority: Priority,
     /// Number of tasks, 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
-    pub tasks: u32,
+    pub task_count: u32,
     /// CPUs per task.
     pub cpus: f64,
     /// GPUs per task.
@@ -67,30 +67,31 @@
     pub image: String,
     /// Size of the image, GB.
     #[serde(rename = "pullGb")]
-    pub image_gb: f64,
+    pub image_size_gb: f64,
     /// Machine types that it may run on; `None`: any.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// Zone that it must run in; `None`: any.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all its tasks must run in the same zone.
     #[serde(rename = "oneZone")]
-    pub one_zone: bool,
+    pub requires_single_zone: bool,
     /// Whether at most half of its tasks, rounded up, may run in the same zone.
-    pub spread: bool,
+    #[serde(rename = "spread")]
+    pub spreads_across_zones: bool,
     /// Whether it may run on spot machines.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// The owner's estimate of a task's run time, s.
     #[serde(rename = "expectS")]
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// Time between two checkpoints, s; 0: it saves none.
     #[serde(rename = "markEveryS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a checkpoint takes, s.
     #[serde(rename = "markCostS")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// Deadline, in seconds from submission; `None`: there is none.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -111,11 +112,11 @@
     /// Decodes and checks a submission. The error names the field on the wire.
     pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
         let spec: JobSpec = decode(body)?;
-        spec.check()?;
+        spec.validate()?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         if !is_job_id(&self.id) {
             return Err("uid: must be run- and digits".into());
         }
@@ -128,24 +129,26 @@
                 return Err(format!("{name}: must be 1 to 200 bytes"));
             }
         }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
+        if self.task_count == 0 || self.task_count > MAX_TASKS {
             return Err(format!("pieces: must be 1 to {MAX_TASKS}"));
         }
         for (name, n) in [
             ("cpus", self.cpus),
             ("cards", self.gpus),
             ("memGb", self.memory_gb),
-            ("pullGb", self.image_gb),
-            ("expectS", self.estimate_s),
-            ("markEveryS", self.checkpoint_s),
-            ("markCostS", self.save_s),
+            ("pullGb", self.image_size_gb),
+            ("expectS", self.estimated_run_time_s),
+            ("markEveryS", self.checkpoint_interval_s),
+            ("markCostS", self.checkpoint_duration_s),
             ("dueS", self.deadline_s.unwrap_or(0.0)),
         ] {
             if !n.is_finite() || !(0.0..=1e9).contains(&n) {
                 return Err(format!("{name}: must be a number from 0 to 1e9"));
             }
         }
-        if self.types.as_ref().is_some_and(|t| t.len() > 64) || json_len(self) > 6 * 1024 {
+        if self.machine_types.as_ref().is_some_and(|t| t.len() > 64)
+            || json_size_bytes(self) > 6 * 1024
+        {
             return Err("too large".into());
         }
         Ok(())
@@ -175,11 +178,13 @@
     pub id: String,
     /// State of the job.
     #[serde(rename = "phase")]
-    pub state: JobPhase,
+    pub phase: JobPhase,
     /// Number of tasks done, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub done: Option<u32>,
+    #[serde(rename = "done")]
+    pub tasks_done: Option<u32>,
     /// Number of tasks running, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub running: Option<u32>,
+    #[serde(rename = "running")]
+    pub tasks_running: Option<u32>,
 }
--- a/crates/wire/src/msg/worker.rs
+++ b/crates/wire/src/msg/worker.rs
@@ -8,12 +8,13 @@
     /// Its image is being fetched.
     Fetching,
     /// A gang's task that waits for the other tasks of its attempt.
-    Gathering,
+    #[serde(rename = "gathering")]
+    WaitingForGang,
     /// It runs.
     Running,
     /// It saves its progress before it ends.
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     /// It has ended; the cause stands beside.
     Exited,
     /// States of later protocol versions; the task is there.
@@ -33,17 +34,19 @@
     Error,
     /// The machine has no room for it.
     #[serde(rename = "full")]
-    NoRoom,
+    NoCapacity,
     /// Another attempt at the same task is still on the machine.
-    Busy,
+    #[serde(rename = "busy")]
+    AttemptConflict,
     /// The machine knows no such task.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// Another task of its gang is gone.
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangMembersGone,
     /// Its gang was not complete in time.
-    Incomplete,
+    #[serde(rename = "incomplete")]
+    GangIncomplete,
     /// Causes of later protocol versions; treated as a stop.
     #[serde(other)]
     Other,
@@ -51,10 +54,10 @@
 
 /// One task in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task id.
     #[serde(rename = "piece")]
-    pub task: String,
+    pub task_id: String,
     /// Number of the attempt at the task.
     #[serde(rename = "try")]
     pub attempt: u64,
@@ -63,18 +66,19 @@
     pub state: TaskState,
     /// Why it has ended; only if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitCause>,
+    pub exit_cause: Option<ExitCause>,
     /// Whether its progress was saved, if told.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    #[serde(rename = "saved")]
+    pub progress_saved: Option<bool>,
 }
 
 /// A worker's report on its machine and all tasks there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine id.
     #[serde(rename = "hearth")]
-    pub machine: String,
+    pub machine_id: String,
     /// IP address and port for commands.
     pub addr: String,
     /// Name of the machine type.
@@ -85,22 +89,22 @@
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// Number of the worker's session.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Sequence number of the report within the session.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Time until the machine is taken back, s; `None`: no notice was given.
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
-    pub notice_s: Option<f64>,
+    pub eviction_in_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// What a worker is to do with a task.
@@ -112,7 +116,7 @@
     Start {
         /// The task id.
         #[serde(rename = "piece")]
-        task: String,
+        task_id: String,
         /// Number of the attempt at the task.
         #[serde(rename = "try")]
         attempt: u64,
@@ -122,20 +126,20 @@
     Stop {
         /// The task id.
         #[serde(rename = "piece")]
-        task: String,
+        task_id: String,
         /// Number of the attempt at the task.
         #[serde(rename = "try")]
         attempt: u64,
         /// Time for saving before the task is ended, s.
         #[serde(rename = "windDownS")]
-        grace_s: f64,
+        grace_period_s: f64,
     },
     /// Drop the record of an exited task.
     #[serde(rename = "clear")]
     Forget {
         /// The task id.
         #[serde(rename = "piece")]
-        task: String,
+        task_id: String,
         /// Number of the attempt at the task.
         #[serde(rename = "try")]
         attempt: u64,
@@ -144,13 +148,13 @@
 
 /// Commands to one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct CommandBatch {
     /// Fencing token of the sending leader.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Only in direct commands.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
+    pub incarnation: Option<u64>,
     /// The commands, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -158,8 +162,8 @@
 
 /// The answer of a controller that does not lead.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportTo {
+pub struct Redirect {
     /// Where to report; `None`: not known.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
-    pub node: Option<String>,
+    pub target_node: Option<String>,
 }
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,42 +1,42 @@
 use stonegw_wire::frame::*;
 
-fn samples() -> Vec<Frame> {
-    let counts = Counts {
-        job: name("run-1"),
+fn sample_frames() -> Vec<Frame> {
+    let counts = TaskCounts {
+        job_id: to_padded_text("run-1"),
         done: 3.into(),
         running: 4.into(),
     };
-    let cancelled = Cancelled {
-        job: name("run-12345678901234567890"),
-        stamp: 8.into(),
+    let cancelled = Cancellation {
+        job_id: to_padded_text("run-12345678901234567890"),
+        revision: 8.into(),
     };
     vec![
         Frame::Hello(Hello {
             term: 7.into(),
-            nonce: 5.into(),
-            asked: 1_000.into(),
-            revision: 6.into(),
-            leads: 1,
-            state_ok: 0,
-            name: name("hearth-1"),
+            process_nonce: 5.into(),
+            ping_sent_at: 1_000.into(),
+            jobs_revision: 6.into(),
+            is_leader: 1,
+            is_store_reachable: 0,
+            node_name: to_padded_text("hearth-1"),
         }),
-        Frame::Report {
-            request: 9,
+        Frame::Heartbeat {
+            request_id: 9,
             body: vec![1, 2, 3],
         },
-        Frame::Answer {
-            request: 9,
+        Frame::HeartbeatReply {
+            request_id: 9,
             status: 200,
             body: vec![],
         },
-        Frame::Counts(vec![counts, counts]),
-        Frame::Cancelled(vec![cancelled]),
+        Frame::TaskCounts(vec![counts, counts]),
+        Frame::Cancellations(vec![cancelled]),
     ]
 }
 
 #[test]
 fn frames_split_at_every_byte_parse_the_same() {
-    for frame in samples() {
+    for frame in sample_frames() {
         let mut raw = Vec::new();
         frame.write(&mut raw);
         assert_eq!(Frame::parse(&raw), Ok(Some((frame, raw.len()))));
@@ -49,14 +49,14 @@
 #[test]
 fn spoilt_frames_are_refused() {
     let mut raw = Vec::new();
-    samples()[0].write(&mut raw);
+    sample_frames()[0].write(&mut raw);
     for (at, to, error) in [
-        (0, 0, FrameError::Magic),
-        (4, 9, FrameError::Version),
-        (6, 99, FrameError::Kind),
-        (6, 0, FrameError::Kind),
-        (8, 1, FrameError::Length),
-        (10, 0xff, FrameError::Length),
+        (0, 0, FrameError::WrongMagic),
+        (4, 9, FrameError::UnsupportedVersion),
+        (6, 99, FrameError::UnknownKind),
+        (6, 0, FrameError::UnknownKind),
+        (8, 1, FrameError::InvalidLength),
+        (10, 0xff, FrameError::InvalidLength),
     ] {
         let mut bad = raw.clone();
         bad[at] = to;
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -1,4 +1,4 @@
-use stonegw_constants::{MAX_HEAD, MAX_HEADERS};
+use stonegw_constants::{MAX_HEADERS, MAX_HEAD_BYTES};
 use stonegw_wire::http::*;
 
 #[test]
@@ -19,7 +19,7 @@
     write_response(&mut raw, 503, Some(2), true, b"abc");
     let (r, n) = parse_response(&raw, 100).unwrap().unwrap();
     assert_eq!(
-        (r.status, r.close, r.body.as_slice(), n),
+        (r.status, r.connection_close, r.body.as_slice(), n),
         (503, true, &b"abc"[..], raw.len())
     );
     for cut in 0..raw.len() {
@@ -29,7 +29,10 @@
 
 #[test]
 fn bad_heads_get_their_status() {
-    let long = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(MAX_HEAD));
+    let long = format!(
+        "GET / HTTP/1.1\r\nA: {}\r\n\r\n",
+        "x".repeat(MAX_HEAD_BYTES)
+    );
     let many = format!(
         "GET / HTTP/1.1\r\n{}\r\n",
         "A: b\r\n".repeat(MAX_HEADERS + 1)
