--- a/crates/control/src/overdue.rs
+++ b/crates/control/src/aging.rs
@@ -4,8 +4,8 @@
 //! but urgent work: it takes the room there is, and where none fits, one machine's room, or the
 //! team's, is kept for it until it does.
 use crate::api::Millis;
+use crate::cluster::{JobState, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Machine};
 use std::collections::HashMap;
 use stonegw_constants as k;
 use stonegw_wire::msg::JobSpec;
--- a/crates/control/src/fleet/dated.rs
+++ b/crates/control/src/autoscaler/deadline_sizing.rs
@@ -1,12 +1,12 @@
 //! Sizing for work with deadlines: what the machines at hand can do by each deadline, and what is
 //! still to come.
+use super::capacity::MachineCapacity;
 use super::demand::DeadlineDemand;
-use super::room::MachineCapacity;
-use super::size::SizingPlan;
+use super::sizing::SizingPlan;
 use super::DeadlineArrival;
 use crate::api::Millis;
+use crate::cluster::Lifecycle;
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::Lifecycle;
 use crate::resources::Resources;
 use stonegw_constants as k;
 use stonegw_wire::msg::JobSpec;
--- a/crates/control/src/fleet/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -1,7 +1,7 @@
 //! Demand: the tasks that machines may be rented for, from the work at hand.
-use super::room::{is_placement_allowed, slots_in, MachineCapacity};
+use super::capacity::{is_placement_allowed, slots_in, MachineCapacity};
+use crate::cluster::{JobState, Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Lifecycle, Machine};
 use std::cmp::Reverse;
 use stonegw_constants as k;
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
--- a/crates/control/src/fleet/gang_room.rs
+++ b/crates/control/src/autoscaler/gang_headroom.rs
@@ -1,9 +1,9 @@
 //! Room that is kept for gangs to come: the largest gang of late, in the zone with most room.
-use super::room::{is_placement_allowed, slots_in, slots_on_empty_machine};
+use super::capacity::{is_placement_allowed, slots_in, slots_on_empty_machine};
 use super::GangArrival;
 use crate::api::Millis;
+use crate::cluster::Machine;
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::Machine;
 use std::collections::HashMap;
 use stonegw_constants as k;
 use stonegw_wire::msg::{JobSpec, MachineType};
--- a/crates/control/src/fleet/spare.rs
+++ b/crates/control/src/autoscaler/headroom.rs
@@ -1,8 +1,8 @@
 //! Spare room for urgent services: how much there is, and how much is kept.
-use super::room::slots_on_empty_machine;
+use super::capacity::slots_on_empty_machine;
 use crate::api::Millis;
+use crate::cluster::{Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{Lifecycle, Machine};
 use crate::resources::Resources;
 use stonegw_constants as k;
 use stonegw_wire::msg::{JobSpec, MachineType};
--- a/crates/control/src/fleet/list.rs
+++ b/crates/control/src/autoscaler/machine_list.rs
@@ -1,8 +1,8 @@
 //! The cloud's list of machines: read page by page, then taken in.
 use super::AutoscalerCall;
 use crate::api::{CallResult, Millis};
+use crate::cluster::{Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{Lifecycle, Machine};
 use crate::node::describe_result;
 use std::collections::HashSet;
 use stonegw_constants as k;
--- a/crates/control/src/fleet/mod.rs
+++ b/crates/control/src/autoscaler/mod.rs
@@ -9,17 +9,17 @@
 use stonegw_constants as k;
 use stonegw_wire::msg::{JobSpec, ListedMachine, ProvisionRequest};
 
-mod calls;
+mod call_results;
+mod capacity;
 mod catalog;
-mod dated;
+mod deadline_sizing;
 mod demand;
-mod gang_room;
-mod idle;
-mod list;
-mod rent;
-mod room;
-mod size;
-mod spare;
+mod gang_headroom;
+mod headroom;
+mod machine_list;
+mod provision;
+mod scale_in;
+mod sizing;
 
 /// A call to the cloud that is under way.
 #[derive(Debug)]
--- a/crates/control/src/fleet/rent.rs
+++ b/crates/control/src/autoscaler/provision.rs
@@ -1,8 +1,8 @@
 //! Renting: rentals are queued, sent one at a time, and repeated until they are answered.
 use super::{AutoscalerCall, MachineOffer, OfferBackoff, PendingProvision, ProvisionState};
 use crate::api::{CallError, CallResult, Millis};
+use crate::cluster::Machine;
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::Machine;
 use crate::node::describe_result;
 use std::collections::BTreeMap;
 use stonegw_constants as k;
--- a/crates/control/src/fleet/idle.rs
+++ b/crates/control/src/autoscaler/scale_in.rs
@@ -1,11 +1,11 @@
 //! Returning machines: those that are idle or never came up are marked, and their deletion asked
 //! for.
-use super::gang_room::GangHeadroom;
-use super::room::slots_on_empty_machine;
+use super::capacity::slots_on_empty_machine;
+use super::gang_headroom::GangHeadroom;
 use super::AutoscalerCall;
 use crate::api::Millis;
+use crate::cluster::{Lifecycle, Machine, Phase};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{Lifecycle, Machine, Phase};
 use stonegw_constants as k;
 use stonegw_wire::msg::{encode, JobSpec, MachineIds, MachineType};
 
--- a/crates/control/src/fleet/size.rs
+++ b/crates/control/src/autoscaler/sizing.rs
@@ -1,10 +1,10 @@
 //! Sizing: which machines to rent for the work at hand, urgent work first.
+use super::capacity::{is_placement_allowed, slots_in, slots_on_empty_machine, MachineCapacity};
 use super::demand::{DeadlineFreeDemand, Demand};
-use super::room::{is_placement_allowed, slots_in, slots_on_empty_machine, MachineCapacity};
 use super::MachineOffer;
 use crate::api::Millis;
+use crate::cluster::{Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext, Stage};
-use crate::ledger::{Lifecycle, Machine};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, HashMap};
 use stonegw_constants as k;
--- a/crates/control/src/ledger/machine.rs
+++ b/crates/control/src/cluster/machine.rs
@@ -1,5 +1,5 @@
 //! One machine: its life, how well it is reached, and the tasks on it.
-use super::sums::AccountedUsage;
+use super::usage_totals::AccountedUsage;
 use super::{Phase, Placement};
 use crate::api::Millis;
 use crate::pause::Pause;
--- a/crates/control/src/ledger/machines.rs
+++ b/crates/control/src/cluster/machines.rs
@@ -1,5 +1,5 @@
 //! The set of all machines; changes go through it, so that the sums follow.
-use super::sums::UsageTotals;
+use super::usage_totals::UsageTotals;
 use super::Machine;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control/src/ledger/machines_tests.rs
+++ b/crates/control/src/cluster/machines_tests.rs
@@ -1,4 +1,4 @@
-use super::super::sums::AccountedUsage;
+use super::super::usage_totals::AccountedUsage;
 use super::super::{Lifecycle, Phase, Placement};
 use super::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
--- a/crates/control/src/gang/mod.rs
+++ b/crates/control/src/gang/mod.rs
@@ -8,16 +8,16 @@
 //!
 //! `place` chooses machines and places an attempt whole, `reserve` keeps or makes room for one.
 use crate::api::Millis;
+use crate::cluster::{JobState, Phase};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Phase};
 use crate::pause::Pause;
 use std::collections::BTreeSet;
 use stonegw_constants as k;
 
-mod place;
-mod reserve;
+mod placement;
+mod reservation;
 
-pub use reserve::GangReservation;
+pub use reservation::GangReservation;
 
 /// The life of a gang.
 ///
--- a/crates/control/src/gang/place.rs
+++ b/crates/control/src/gang/placement.rs
@@ -1,7 +1,7 @@
 //! Choosing machines for a gang, and placing it whole.
 use super::GangState;
+use crate::cluster::{JobState, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Machine};
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/control/src/gang/reserve.rs
+++ b/crates/control/src/gang/reservation.rs
@@ -6,9 +6,9 @@
 //! needs. A machine is reserved for one gang only and a gang reserves nothing or enough for all its
 //! tasks, so no two gangs each keep half of what both need.
 use crate::api::Millis;
+use crate::cluster::{JobState, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Machine};
-use crate::preempt::{PreemptionOffer, PreemptionRequest};
+use crate::preemption::{PreemptionOffer, PreemptionRequest};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_constants as k;
--- a/crates/control/src/leader/calls.rs
+++ b/crates/control/src/leader/calls.rs
@@ -1,7 +1,7 @@
 //! The calls of the leader that wait for an answer.
 use super::{PendingWrite, TransactionSize};
 use crate::api::Millis;
-use crate::fleet::AutoscalerCall;
+use crate::autoscaler::AutoscalerCall;
 
 /// A call that waits for its answer, with what the answer is needed for.
 #[derive(Debug)]
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/commit.rs
@@ -1,5 +1,5 @@
 //! Puts what is due into one transaction at a time and sends it.
-use super::draft::TransactionBuilder;
+use super::transaction_builder::TransactionBuilder;
 use super::*;
 
 impl Leader {
--- a/crates/control/src/leader/context.rs
+++ b/crates/control/src/leader/context.rs
@@ -1,6 +1,6 @@
 //! What the leader may use of its node, and how it makes calls.
 use super::*;
-use crate::fleet::AutoscalerCall;
+use crate::autoscaler::AutoscalerCall;
 
 /// What the leader may use of its node.
 pub struct LeaderContext<'a> {
--- a/crates/control/src/leader/world_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -1,6 +1,6 @@
 //! A leader alone with a small state service, for tests of what it stores.
 use super::*;
-use crate::limits::StoreLimits;
+use crate::store_limits::StoreLimits;
 
 /// Applies transactions at once and refuses what passes its limits, whatever the settings say.
 pub struct FakeStore {
--- a/crates/control/src/leader/machine_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -1,5 +1,5 @@
 //! Puts the records of machines that are due into a transaction.
-use super::draft::TransactionBuilder;
+use super::transaction_builder::TransactionBuilder;
 use super::*;
 
 /// What a group's record holds now, and which attempts it holds for the first time.
@@ -132,5 +132,5 @@
 }
 
 #[cfg(test)]
-#[path = "machine_records_tests.rs"]
+#[path = "machine_group_records_tests.rs"]
 mod tests;
--- a/crates/control/src/leader/split.rs
+++ b/crates/control/src/leader/machine_group_split.rs
@@ -3,7 +3,7 @@
 //!
 //! Their machines move to new records. The old record stays as it is until all of these are stored,
 //! so that every placement stands in some record at any moment; between, it stands in two.
-use super::machine_records::machine_group_record;
+use super::machine_group_records::machine_group_record;
 use super::*;
 
 /// How the machines of a record are divided.
@@ -202,5 +202,5 @@
 }
 
 #[cfg(test)]
-#[path = "split_tests.rs"]
+#[path = "machine_group_split_tests.rs"]
 mod tests;
--- a/crates/control/src/leader/split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -1,4 +1,4 @@
-use super::world_tests::*;
+use super::fixture_tests::*;
 use super::*;
 
 const LARGE_VALUE_BYTES: usize = 8 * 1024;
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -3,12 +3,11 @@
 //! The two rules everything here serves: a `run` goes out only after its placement is stored
 //! under our term, and a task moves only when it is proven gone.
 use crate::api::{CallError, CallResult, Millis, Now, Target};
-use crate::fleet::Autoscaler;
-use crate::ledger::{
+use crate::autoscaler::Autoscaler;
+use crate::cluster::{
     JobState, Lifecycle, Machine, MachineGroup, Machines, Phase, Placement, Reachability,
     ResultChunk, StoredState,
 };
-use crate::limits::{StoreLimits, TransactionSize};
 use crate::node::{describe_result, Outbox};
 use crate::records::{
     self, job_key, machine_group_key, parse_task_name, result_chunk_key, JobEnd, JobRecord, JobRow,
@@ -16,8 +15,9 @@
     MACHINE_GROUPS_PREFIX, RESULT_CHUNKS_PREFIX,
 };
 use crate::replica::Replica;
-use crate::schedule::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::settings::{Settings, TokenBucket};
+use crate::store_limits::{StoreLimits, TransactionSize};
 use rand::{rngs::SmallRng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_constants as k;
@@ -27,36 +27,36 @@
     Heartbeat, JobKind, MachineType, Priority, TaskStatus, Txn, TxnResponse, Write,
 };
 
-mod answers;
 mod calls;
-mod command;
+mod commit;
+mod commit_results;
 mod context;
-mod draft;
-mod failed;
-mod hear;
-mod item;
+mod direct_commands;
+#[cfg(test)]
+mod fixture_tests;
+mod heartbeats;
 mod jobs;
+mod listing_page;
 mod load;
-mod machine_records;
-mod page;
-mod place;
+mod machine_group_records;
+mod machine_group_split;
+mod machine_health;
+mod pending_write;
+mod placement;
 mod placement_rules;
 mod reported_phase;
-mod reread;
 mod results;
 mod resume;
-mod silence;
-mod split;
-mod store;
+mod revision_reads;
 mod summary;
-#[cfg(test)]
-mod world_tests;
+mod task_failures;
+mod transaction_builder;
 
 pub use calls::LeaderCall;
 pub use context::LeaderContext;
-use item::pending_write_key;
-pub use item::{PendingWrite, PlacementRef};
-use page::page;
+use listing_page::page;
+use pending_write::pending_write_key;
+pub use pending_write::{PendingWrite, PlacementRef};
 pub use placement_rules::{is_immediate, zone_allows};
 use reported_phase::{is_present_phase, reported_phase};
 
--- a/crates/control/src/leader/reported_phase.rs
+++ b/crates/control/src/leader/reported_phase.rs
@@ -1,5 +1,5 @@
 //! The phase of a placement as a worker reports it.
-use crate::ledger::Phase;
+use crate::cluster::Phase;
 use stonegw_wire::msg::{ExitCause, TaskState, TaskStatus};
 
 /// The phase that a worker reports for a task.
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -1,5 +1,5 @@
 //! Puts the ends and the results of jobs that are due into a transaction.
-use super::draft::TransactionBuilder;
+use super::transaction_builder::TransactionBuilder;
 use super::*;
 
 /// What was done of a job, or of one chunk of it, and is still shown by a worker.
--- a/crates/control/src/leader/resume.rs
+++ b/crates/control/src/leader/resume.rs
@@ -1,7 +1,7 @@
 //! What a leader does when its process runs again after a pause; see [`crate::pause`]. That it acts
 //! only once it is proven to lead still is decided by the node (`Ctx::proven`).
 use super::*;
-use crate::ledger::JobState;
+use crate::cluster::JobState;
 use crate::pause::Pause;
 
 impl Leader {
--- a/crates/control/src/leader/resume_tests.rs
+++ b/crates/control/src/leader/resume_tests.rs
@@ -1,5 +1,5 @@
 //! A leader whose process runs again after a pause.
-use super::world_tests::*;
+use super::fixture_tests::*;
 use super::*;
 use crate::pause::Pause;
 use stonegw_wire::msg::TaskState;
--- a/crates/control/src/leader/failed.rs
+++ b/crates/control/src/leader/task_failures.rs
@@ -88,5 +88,5 @@
 }
 
 #[cfg(test)]
-#[path = "failed_tests.rs"]
+#[path = "task_failures_tests.rs"]
 mod tests;
--- a/crates/control/src/leader/failed_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -1,4 +1,4 @@
-use super::super::world_tests::*;
+use super::super::fixture_tests::*;
 use super::*;
 
 /// A leader with some machines that are up and some jobs of four tasks.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,16 +1,16 @@
 //! The controller's state machines, free of I/O: events and the time go in, actions come out.
+pub mod aging;
 pub mod api;
-pub mod fleet;
+pub mod autoscaler;
+pub mod cluster;
 pub mod gang;
 pub mod leader;
-pub mod ledger;
-pub mod limits;
 pub mod node;
-pub mod overdue;
 pub mod pause;
-pub mod preempt;
+pub mod preemption;
 pub mod records;
 pub mod replica;
 pub mod resources;
-pub mod schedule;
+pub mod scheduler;
 pub mod settings;
+pub mod store_limits;
--- a/crates/control/src/node/coverage.rs
+++ b/crates/control/src/node/cancellation_watermark.rs
@@ -76,5 +76,5 @@
 }
 
 #[cfg(test)]
-#[path = "coverage_tests.rs"]
+#[path = "cancellation_watermark_tests.rs"]
 mod tests;
--- a/crates/control/src/node/elect.rs
+++ b/crates/control/src/node/election.rs
@@ -320,5 +320,5 @@
 }
 
 #[cfg(test)]
-#[path = "elect_tests.rs"]
+#[path = "election_tests.rs"]
 mod tests;
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -2,7 +2,6 @@
 //! standing for election) and, while it leads, the leader inside.
 use crate::api::{Action, CallError, CallResult, Event, Link, Millis, Now, Target};
 use crate::leader::Leader;
-use crate::limits::{StoreLimits, TransactionSize};
 use crate::pause::PauseDetector;
 use crate::records::{
     self, JobEnd, JobRecord, LeaderRecord, RelayedHeartbeatsRecord, ReplicatedRecord, StoredRecord,
@@ -10,6 +9,7 @@
 };
 use crate::replica::Replica;
 use crate::settings::{Settings, TokenBucket};
+use crate::store_limits::{StoreLimits, TransactionSize};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -22,32 +22,32 @@
     TxnResponse, WatchResponse, Write,
 };
 
-mod answers;
 mod budgets;
+mod call_results;
 mod calls;
-mod can_run;
-mod coverage;
-mod elect;
-mod gate;
-mod out;
+mod cancellation_watermark;
+mod election;
+mod feasibility;
+mod feature_gate;
+mod outbox;
 mod peer;
-mod pending;
+mod pending_request;
 mod relay;
+mod replica_sync;
 mod resume;
 mod role;
 mod routes;
-mod sync;
-mod users;
-mod via_state;
+mod user_requests;
+mod via_store;
 
-pub(crate) use answers::describe_result;
+pub(crate) use call_results::describe_result;
 use calls::NodeCall;
-pub use can_run::check_feasibility;
-pub(crate) use out::Outbox;
+pub use feasibility::check_feasibility;
+pub(crate) use outbox::Outbox;
 use peer::Peer;
-use pending::{PendingRequest, UserRequest};
+use pending_request::{PendingRequest, UserRequest};
+use replica_sync::ReplicaSync;
 pub use role::Role;
-use sync::ReplicaSync;
 
 /// One controller: its copy of the jobs, its peers, its requests and, while it leads, the leader.
 pub struct Node {
@@ -82,8 +82,8 @@
     last_store_success_at: Millis,
     store_failing_since: Option<Millis>,
     peers: Vec<Peer>,
-    cancellation_watermark: coverage::CancellationWatermark,
-    feature_gate: gate::FeatureGate,
+    cancellation_watermark: cancellation_watermark::CancellationWatermark,
+    feature_gate: feature_gate::FeatureGate,
     pause_detector: PauseDetector,
     /// When the last pause ended; 0: there was none.
     resumed_at: Millis,
@@ -125,8 +125,8 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let nonce = rng.random::<u64>() >> 12;
         let peers: Vec<Peer> = set.peers.iter().map(|_| Peer::default()).collect();
-        let coverage = coverage::CancellationWatermark::new(peers.len());
-        let gate = gate::FeatureGate::new(&set.node_name, &set.peers);
+        let coverage = cancellation_watermark::CancellationWatermark::new(peers.len());
+        let gate = feature_gate::FeatureGate::new(&set.node_name, &set.peers);
         let mut node = Node {
             incarnation: nonce,
             rng,
--- a/crates/control/src/node/users.rs
+++ b/crates/control/src/node/user_requests.rs
@@ -447,5 +447,5 @@
 }
 
 #[cfg(test)]
-#[path = "users_tests.rs"]
+#[path = "user_requests_tests.rs"]
 mod tests;
--- a/crates/control/src/preempt.rs
+++ b/crates/control/src/preemption.rs
@@ -1,8 +1,8 @@
 //! Making room: urgent work pushes lesser work aside, and teams within their guarantee take back
 //! what others borrow.
 use crate::api::Millis;
+use crate::cluster::{JobState, Lifecycle, Machine, Phase, Placement};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Lifecycle, Machine, Phase, Placement};
 use crate::resources::Resources;
 use std::collections::HashMap;
 use stonegw_constants as k;
--- a/crates/control/src/schedule/mapping.rs
+++ b/crates/control/src/scheduler/deadline_placement.rs
@@ -1,13 +1,13 @@
 //! One mapping event: deadline work goes to the machines where it has the best chance.
-use super::queues::{MachineQueue, OnTimeAverage};
+use super::machine_queues::{MachineQueue, OnTimeAverage};
 use super::{image_fetch_s_per_gb, PlacementRank};
+use crate::cluster::Machine;
 use crate::leader::{is_immediate, zone_allows, Leader, LeaderContext};
-use crate::ledger::Machine;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
 use stonegw_constants as k;
-use stonegw_sched::curve::TimeDistribution;
-use stonegw_sched::pam::{earliest_finish, EstimatedStart, PlacementScore};
+use stonegw_sched::placement_estimate::{earliest_finish, EstimatedStart, PlacementScore};
+use stonegw_sched::time_distribution::TimeDistribution;
 use stonegw_wire::msg::JobSpec;
 
 /// Run times of one job on one machine type, as a mapping uses them.
--- a/crates/control/src/schedule/first_fit.rs
+++ b/crates/control/src/scheduler/first_fit.rs
@@ -1,7 +1,7 @@
 //! First fit: urgent work at once, and leftover room for work without a deadline, late or dropped.
 use super::PlacementRank;
+use crate::cluster::{JobState, Machine};
 use crate::leader::{is_immediate, Leader, LeaderContext};
-use crate::ledger::{JobState, Machine};
 use stonegw_constants as k;
 use stonegw_wire::msg::JobSpec;
 
--- a/crates/control/src/schedule/queues.rs
+++ b/crates/control/src/scheduler/machine_queues.rs
@@ -1,14 +1,14 @@
 //! The machines' queues as one mapping sees them, with the curves of when their tasks end.
 use super::Scheduler;
 use crate::api::Now;
+use crate::cluster::{JobState, Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
-use crate::ledger::{JobState, Lifecycle, Machine};
 use std::collections::BTreeMap;
 use stonegw_constants as k;
-use stonegw_sched::curve::TimeDistribution;
-use stonegw_sched::pam::{EstimatedStart, ExpectedRelease, QueueForecast};
+use stonegw_sched::placement_estimate::{EstimatedStart, ExpectedRelease, QueueForecast};
 use stonegw_sched::pruner::{OverloadToggle, Pruner};
-use stonegw_sched::runtimes::RunTimeHistogram;
+use stonegw_sched::run_time_histogram::RunTimeHistogram;
+use stonegw_sched::time_distribution::TimeDistribution;
 use stonegw_wire::msg::{JobKind, MachineType};
 
 /// A machine as one mapping sees it.
--- a/crates/control/src/schedule/mod.rs
+++ b/crates/control/src/scheduler/mod.rs
@@ -2,23 +2,23 @@
 //! best-chance machine and the soonest-finishing pair goes first; what is below the deferring
 //! threshold waits; held tasks below the drop threshold leave their queue while the toggle is
 //! on. Everything else fills leftover room first fit.
+use crate::aging::AgingReservation;
 use crate::api::Millis;
+use crate::cluster::{JobState, Lifecycle, Machine, Phase};
 use crate::gang::GangReservation;
 use crate::leader::{zone_allows, Leader, LeaderContext};
-use crate::ledger::{JobState, Lifecycle, Machine, Phase};
-use crate::overdue::AgingReservation;
-use crate::preempt::PreemptionPlan;
+use crate::preemption::PreemptionPlan;
 use crate::records::ObservedRunTimes;
 use crate::resources::Resources;
 use std::collections::HashMap;
 use stonegw_constants as k;
 use stonegw_sched::pruner::Pruner;
-use stonegw_sched::runtimes::RunTimeHistogram;
+use stonegw_sched::run_time_histogram::RunTimeHistogram;
 use stonegw_wire::msg::{JobSpec, Priority};
 
+mod deadline_placement;
 mod first_fit;
-mod mapping;
-mod queues;
+mod machine_queues;
 
 /// What the scheduler holds between its events.
 #[derive(Default)]
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/store_limits.rs
@@ -104,5 +104,5 @@
 }
 
 #[cfg(test)]
-#[path = "limits_tests.rs"]
+#[path = "store_limits_tests.rs"]
 mod tests;
--- a/crates/net/src/net/budget.rs
+++ b/crates/net/src/event_loop/accept.rs
@@ -1,6 +1,6 @@
 //! Accepting connections within the limit on open sockets.
 use super::{EventLoop, FIRST_CONNECTION_KEY};
-use crate::conn::{Connection, ConnectionKind};
+use crate::connection::{Connection, ConnectionKind};
 use std::io;
 use std::net::TcpStream;
 use stonegw_constants as k;
--- a/crates/net/src/net/client.rs
+++ b/crates/net/src/event_loop/client.rs
@@ -1,7 +1,7 @@
 //! Calls to workers, the cloud and the state service, over kept or new connections.
 use super::socket::start_connect;
 use super::EventLoop;
-use crate::conn::{Connection, ConnectionKind, ReadOutcome};
+use crate::connection::{Connection, ConnectionKind, ReadOutcome};
 use crate::event::{CallFailure, NetworkEvent};
 use stonegw_constants as k;
 use stonegw_wire::http::{self, HttpError};
--- a/crates/net/src/net/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -1,13 +1,13 @@
 //! The event loop over all sockets of the process.
-mod budget;
+mod accept;
 mod client;
-mod connection;
 mod peer;
+mod registry;
 mod server;
 mod socket;
 
-use crate::admit::AdmissionLimiter;
-use crate::conn::{Connection, ConnectionKind, ReadOutcome};
+use crate::admission::AdmissionLimiter;
+use crate::connection::{Connection, ConnectionKind, ReadOutcome};
 use crate::event::{NetworkEvent, PeerLink};
 use polling::{Event, Events, PollMode, Poller};
 use socket::open_listener;
--- a/crates/net/src/net/peer.rs
+++ b/crates/net/src/event_loop/peer.rs
@@ -1,7 +1,7 @@
 //! Links to the other controllers.
 use super::socket::start_connect;
 use super::EventLoop;
-use crate::conn::{Connection, ConnectionKind, ReadOutcome};
+use crate::connection::{Connection, ConnectionKind, ReadOutcome};
 use crate::event::{NetworkEvent, PeerLink};
 use stonegw_constants as k;
 use stonegw_wire::frame::Frame;
--- a/crates/net/src/net/connection.rs
+++ b/crates/net/src/event_loop/registry.rs
@@ -1,6 +1,6 @@
 //! Registers, writes and closes connections.
 use super::EventLoop;
-use crate::conn::{Connection, ConnectionKind};
+use crate::connection::{Connection, ConnectionKind};
 use crate::event::{CallFailure, NetworkEvent, PeerLink};
 use polling::{Event, PollMode};
 use stonegw_constants as k;
--- a/crates/net/src/net/server.rs
+++ b/crates/net/src/event_loop/server.rs
@@ -1,6 +1,6 @@
 //! Requests of users and workers on accepted connections.
 use super::EventLoop;
-use crate::conn::ConnectionKind;
+use crate::connection::ConnectionKind;
 use crate::event::NetworkEvent;
 use stonegw_constants as k;
 use stonegw_wire::http::{self, HttpError, Request};
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,10 @@
 //! Event loop, connections and the admission limit. One thread, built on `polling`.
 #![deny(missing_docs)]
 
-pub mod admit;
-mod conn;
+pub mod admission;
+mod connection;
 mod event;
-mod net;
+mod event_loop;
 
 pub use event::{CallFailure, NetworkEvent, PeerLink};
-pub use net::EventLoop;
+pub use event_loop::EventLoop;
--- a/crates/net/tests/admit.rs
+++ b/crates/net/tests/admission.rs
@@ -1,5 +1,5 @@
 use stonegw_constants as k;
-use stonegw_net::admit::*;
+use stonegw_net::admission::*;
 
 #[test]
 fn the_limit_follows_the_measured_times() {
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -3,7 +3,7 @@
 //! bounded by the bins of a curve and by jobs times machines, never by tasks.
 #![deny(missing_docs)]
 
-pub mod curve;
-pub mod pam;
+pub mod placement_estimate;
 pub mod pruner;
-pub mod runtimes;
+pub mod run_time_histogram;
+pub mod time_distribution;
--- a/crates/sched/src/pam.rs
+++ b/crates/sched/src/placement_estimate.rs
@@ -1,6 +1,6 @@
 //! Pruning-aware mapping (PAM): each task picks its best-chance machine, the soonest-finishing
 //! pair goes first. Tasks of a job are alike, so a job stands for all its waiting tasks.
-use crate::curve::TimeDistribution;
+use crate::time_distribution::TimeDistribution;
 use std::rc::Rc;
 use stonegw_constants::{
     CHANCE_TOLERANCE, FINISH_TOLERANCE_S, MAX_QUEUED_TASKS_PER_MACHINE, RESOURCE_EPSILON,
@@ -213,5 +213,5 @@
 }
 
 #[cfg(test)]
-#[path = "pam_tests.rs"]
+#[path = "placement_estimate_tests.rs"]
 mod tests;
--- a/crates/sched/src/runtimes.rs
+++ b/crates/sched/src/run_time_histogram.rs
@@ -1,6 +1,6 @@
 //! Run-time histograms per job and machine type, learned from finished reports and seeded by
 //! the owner's estimate.
-use crate::curve::TimeDistribution;
+use crate::time_distribution::TimeDistribution;
 use hdrhistogram::Histogram;
 use stonegw_constants::{ESTIMATE_QUANTILE_FACTORS, MAX_RUN_TIME_MS, OBSERVED_RUN_WEIGHT};
 
--- a/crates/sched/tests/pam.rs
+++ b/crates/sched/tests/placement_estimate.rs
@@ -1,4 +1,4 @@
-use stonegw_sched::pam::*;
+use stonegw_sched::placement_estimate::*;
 
 #[test]
 fn best_chance_first_then_soonest_finish() {
--- a/crates/sched/tests/runtimes.rs
+++ b/crates/sched/tests/run_time_histogram.rs
@@ -1,4 +1,4 @@
-use stonegw_sched::runtimes::*;
+use stonegw_sched::run_time_histogram::*;
 
 #[test]
 fn observations_outweigh_a_wrong_estimate() {
--- a/crates/sched/tests/curve.rs
+++ b/crates/sched/tests/time_distribution.rs
@@ -1,5 +1,5 @@
 use stonegw_constants::CURVE_BIN_S;
-use stonegw_sched::curve::*;
+use stonegw_sched::time_distribution::*;
 
 #[test]
 fn convolution_and_shortcut_agree() {
--- a/crates/testkit/src/sim/room.rs
+++ b/crates/testkit/src/sim/capacity.rs
@@ -1,9 +1,9 @@
 //! After the troubles no job waits for long beside room for it (the operators' page).
-use super::rule::{max_tasks_per_zone, satisfies_constraints, RESOURCE_EPSILON};
+use super::invariants::{max_tasks_per_zone, satisfies_constraints, RESOURCE_EPSILON};
 use super::setup::{MACHINE_CPUS, MACHINE_MEMORY_GB};
 use super::user::SubmittedJob;
 use super::{job_id_of, Simulation};
-use crate::outside::{Ms, Worker};
+use crate::stand_ins::{Ms, Worker};
 use std::collections::BTreeMap;
 use stonegw_wire::msg::*;
 
--- a/crates/testkit/src/sim/cloud_calls.rs
+++ b/crates/testkit/src/sim/cloud_calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the cloud, and the workers of the machines that it has.
 use super::event::OutboundCall;
 use super::Simulation;
-use crate::outside::{Ms, Worker};
+use crate::stand_ins::{Ms, Worker};
 use stonegw_wire::msg::ProvisionRequest;
 
 /// How long the cloud's answer takes.
--- a/crates/testkit/src/sim/command.rs
+++ b/crates/testkit/src/sim/command.rs
@@ -1,9 +1,9 @@
 //! Commands at a worker: direct ones, their copies, and how they are carried out.
 use super::event::{Caller, OutboundCall, SimulationEvent};
-use super::rule::RESOURCE_EPSILON;
+use super::invariants::RESOURCE_EPSILON;
 use super::setup::{MACHINE_CPUS, MACHINE_MEMORY_GB};
 use super::{job_id_of, parse_task_name, Simulation, GANG_WAIT_TIMEOUT_MS};
-use crate::outside::{Ms, Task, TaskKey, Worker};
+use crate::stand_ins::{Ms, Task, TaskKey, Worker};
 use stonegw_wire::msg::*;
 
 const IMAGE_FETCH_MS: Ms = 1_000;
--- a/crates/testkit/src/sim/event.rs
+++ b/crates/testkit/src/sim/event.rs
@@ -1,6 +1,6 @@
 //! The queue of events in simulated time, and who handles each.
 use super::Simulation;
-use crate::outside::{Ms, Response};
+use crate::stand_ins::{Ms, Response};
 use stonegw_control::api::{CallError, Event, Link, Target};
 use stonegw_wire::frame::Frame;
 use stonegw_wire::http::Request;
--- a/crates/testkit/src/sim/fault.rs
+++ b/crates/testkit/src/sim/fault.rs
@@ -2,7 +2,7 @@
 use super::event::OutboundCall;
 use super::user::Requester;
 use super::{Simulation, STORE_LATENCY_MS};
-use crate::outside::{Ms, StoreLimits};
+use crate::stand_ins::{Ms, StoreLimits};
 use stonegw_wire::msg::*;
 
 /// What a trap does to the transaction that it waits for.
--- a/crates/testkit/src/sim/gang.rs
+++ b/crates/testkit/src/sim/gang.rs
@@ -2,7 +2,7 @@
 //! together, and save together when they are stopped in time.
 use super::command::TASK_FAILURE_DELAY_MS;
 use super::{job_id_of, parse_task_name, Simulation, GANG_PEER_TIMEOUT_MS};
-use crate::outside::{GangRunId, Ms, TaskKey};
+use crate::stand_ins::{GangRunId, Ms, TaskKey};
 use std::collections::BTreeMap;
 use stonegw_wire::msg::*;
 
@@ -383,7 +383,8 @@
 
     /// The machines that hold a task which has not exited.
     pub fn machines_holding_task(&self, task: &str) -> Vec<String> {
-        let holds = |w: &&crate::outside::Worker| w.attempts_of(task).any(|(_, t)| t.is_present());
+        let holds =
+            |w: &&crate::stand_ins::Worker| w.attempts_of(task).any(|(_, t)| t.is_present());
         let workers = self.workers.values().filter(holds);
         workers.map(|w| w.id.clone()).collect()
     }
--- a/crates/testkit/src/sim/rule.rs
+++ b/crates/testkit/src/sim/invariants.rs
@@ -1,7 +1,7 @@
 //! The protocol's rules, looked at when commands leave a node, when a task starts, and in time.
 use super::user::SubmittedJob;
 use super::{job_id_of, Simulation, CANCELLATION_DEADLINE_MS};
-use crate::outside::Ms;
+use crate::stand_ins::Ms;
 use std::collections::BTreeMap;
 use stonegw_wire::msg::*;
 
--- a/crates/testkit/src/sim/odd.rs
+++ b/crates/testkit/src/sim/malformed.rs
@@ -1,7 +1,7 @@
 //! Requests that no careful user sends, and what they must be answered with.
 use super::user::{Requester, SubmittedJob};
 use super::Simulation;
-use crate::outside::Ms;
+use crate::stand_ins::Ms;
 use stonegw_wire::msg::*;
 /// What an odd request must be answered with, unless the node says that it can't now.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -1,32 +1,32 @@
 //! The simulated world: real controller cores among stand-ins for all that is around them, in
 //! simulated time, with failures, and with the rules of the protocol checked all the while.
+mod capacity;
 mod cloud_calls;
 mod command;
 mod event;
 mod fault;
 mod gang;
+mod invariants;
+mod malformed;
 mod network;
 mod node;
-mod odd;
 mod pause;
-mod room;
-mod rule;
 mod setup;
-mod state_calls;
+mod store_calls;
 mod user;
 mod worker;
 
 pub use fault::{TransactionFault, TransactionFaultKind};
-pub use odd::MalformedRequest;
+pub use malformed::MalformedRequest;
 pub use user::SubmittedJob;
 
-use crate::outside::{Cloud, GangRunId, KeyValueStore, Ms, Worker};
+use crate::stand_ins::{Cloud, GangRunId, KeyValueStore, Ms, Worker};
 use event::{ScheduledEvent, SimulationEvent};
 use gang::GangRun;
-use state_calls::Watch;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use stonegw_control::node::Node;
 use stonegw_control::settings::Settings;
+use store_calls::Watch;
 use user::Requester;
 
 /// How long a message to the state service takes, and its answer.
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -1,7 +1,7 @@
 //! Which nodes and machines can reach each other at the moment.
 use super::event::SimulationEvent;
 use super::Simulation;
-use crate::outside::Ms;
+use crate::stand_ins::Ms;
 use stonegw_control::api::{Event, Link};
 
 impl Simulation {
--- a/crates/testkit/src/sim/node.rs
+++ b/crates/testkit/src/sim/node.rs
@@ -3,7 +3,7 @@
 use super::fault::TransactionFaultKind;
 use super::user::Requester;
 use super::{Simulation, STORE_LATENCY_MS};
-use crate::outside::{Ms, Response};
+use crate::stand_ins::{Ms, Response};
 use stonegw_control::api::{Action, CallError, Event, Link, Target};
 use stonegw_control::node::{Node, Role};
 use stonegw_wire::frame::Frame;
--- a/crates/testkit/src/sim/pause.rs
+++ b/crates/testkit/src/sim/pause.rs
@@ -1,7 +1,7 @@
 //! Processes that stand still while their clock runs on, and perhaps further than time does.
 use super::event::{OutboundCall, SimulationEvent};
 use super::Simulation;
-use crate::outside::Ms;
+use crate::stand_ins::Ms;
 use stonegw_control::api::{Event, Now, Target};
 use stonegw_control::node::{Node, Role};
 use stonegw_control::records::LEADER_KEY;
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -3,7 +3,7 @@
     Simulation, CANCELLATION_DEADLINE_MS, GANG_PEER_TIMEOUT_MS, GANG_WAIT_TIMEOUT_MS,
     HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
 };
-use crate::outside::{Cloud, Ms, StoreLimits};
+use crate::stand_ins::{Cloud, Ms, StoreLimits};
 use std::collections::BTreeMap;
 use stonegw_control::settings::{Settings, Team, Tuning};
 use stonegw_wire::msg::*;
--- a/crates/testkit/src/sim/state_calls.rs
+++ b/crates/testkit/src/sim/store_calls.rs
@@ -2,7 +2,7 @@
 use super::event::{Caller, OutboundCall, SimulationEvent};
 use super::fault::TransactionFaultKind;
 use super::{Simulation, STORE_LATENCY_MS};
-use crate::outside::{query_parameter, Ms};
+use crate::stand_ins::{query_parameter, Ms};
 use stonegw_wire::msg::*;
 
 /// A watch that waits for a change.
--- a/crates/testkit/src/sim/user.rs
+++ b/crates/testkit/src/sim/user.rs
@@ -1,8 +1,8 @@
 //! Users: they submit, ask again, cancel, and remember what they were told.
 use super::event::SimulationEvent;
-use super::odd::MalformedRequest;
+use super::malformed::MalformedRequest;
 use super::Simulation;
-use crate::outside::Ms;
+use crate::stand_ins::Ms;
 use std::collections::BTreeSet;
 use stonegw_wire::http::Request;
 use stonegw_wire::msg::*;
--- a/crates/testkit/src/sim/worker.rs
+++ b/crates/testkit/src/sim/worker.rs
@@ -2,7 +2,7 @@
 use super::event::SimulationEvent;
 use super::user::Requester;
 use super::{job_id_of, parse_task_name, Simulation, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS};
-use crate::outside::{Ms, TaskKey, Worker};
+use crate::stand_ins::{Ms, TaskKey, Worker};
 use std::collections::BTreeMap;
 use stonegw_wire::http::Request;
 use stonegw_wire::msg::*;
--- a/crates/testkit/src/outside/mod.rs
+++ b/crates/testkit/src/stand_ins/mod.rs
@@ -1,10 +1,10 @@
 //! The state service, the cloud and the workers, as the protocol describes them.
 mod cloud;
-mod state;
+mod store;
 mod worker;
 
 pub use cloud::Cloud;
-pub use state::{KeyValueStore, StoreLimits};
+pub use store::{KeyValueStore, StoreLimits};
 pub use worker::{machine_address, GangRunId, Task, TaskKey, Worker};
 
 use stonegw_wire::msg::{encode, ErrorBody};
--- a/crates/testkit/src/trace/expect.rs
+++ b/crates/testkit/src/trace/expectations.rs
@@ -1,7 +1,7 @@
 //! What a trace expects to hold at a moment.
-use super::words::parse_ms;
-use crate::outside::Ms;
+use super::grammar::parse_ms;
 use crate::sim::{Simulation, SubmittedJob};
+use crate::stand_ins::Ms;
 use stonegw_wire::msg::{JobPhase, TaskState};
 
 /// `expect JOB WORD [N]`, `expect-log TEXT`, `expect-no-log TEXT`. False: the line is none of them.
--- a/crates/testkit/src/trace/words.rs
+++ b/crates/testkit/src/trace/grammar.rs
@@ -1,6 +1,6 @@
 //! The words of a trace's lines: times, nodes, machines, jobs.
-use crate::outside::Ms;
 use crate::sim::Simulation;
+use crate::stand_ins::Ms;
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
 
 /// How long a replica runs: until its job is cancelled.
--- a/crates/testkit/src/trace/act.rs
+++ b/crates/testkit/src/trace/interpreter.rs
@@ -1,11 +1,11 @@
 //! Carries out one line of a trace.
-use super::expect::check_expectation;
-use super::odd::send_malformed_request;
-use super::words::{
+use super::expectations::check_expectation;
+use super::grammar::{
     parse_job, parse_ms, parse_ms_or, parse_share, resolve_machines, resolve_nodes,
 };
-use crate::outside::Ms;
+use super::malformed::send_malformed_request;
 use crate::sim::{Simulation, TransactionFault, TransactionFaultKind};
+use crate::stand_ins::Ms;
 
 /// A process that ends is back after so long if the line does not say.
 const DEFAULT_RESTART_MS: Ms = 4_000;
--- a/crates/testkit/src/trace/odd.rs
+++ b/crates/testkit/src/trace/malformed.rs
@@ -1,5 +1,5 @@
 //! Odd requests, as a trace's line words them.
-use super::words::{parse_job, resolve_nodes};
+use super::grammar::{parse_job, resolve_nodes};
 use crate::sim::{MalformedRequest, Simulation};
 use serde_json::Value;
 use stonegw_wire::msg::{decode, encode};
--- a/crates/testkit/src/trace/mod.rs
+++ b/crates/testkit/src/trace/mod.rs
@@ -71,15 +71,15 @@
 //! | `T expect JOB gone` | none of its tasks is left anywhere |
 //! | `T expect-log TEXT` / `T expect-no-log TEXT` | what the log holds by then |
 //! | `until T` | the end; no rule may be broken by then |
-mod act;
-mod expect;
-mod odd;
-mod words;
+mod expectations;
+mod grammar;
+mod interpreter;
+mod malformed;
 
-pub(crate) use act::execute_line;
+pub(crate) use interpreter::execute_line;
 
 use crate::sim::Simulation;
-use words::parse_ms;
+use grammar::parse_ms;
 
 /// Plays a scenario to its end.
 pub fn play(text: &str) -> Simulation {
--- a/crates/testkit/tests/gang_workers.rs
+++ b/crates/testkit/tests/gang_workers.rs
@@ -1,7 +1,7 @@
 //! The stand-in's workers run gangs as the protocol tells: commands are given to them directly,
 //! with no controller beside.
-use stonegw_testkit::outside::Ms;
 use stonegw_testkit::sim::{Simulation, GANG_PEER_TIMEOUT_MS, GANG_WAIT_TIMEOUT_MS};
+use stonegw_testkit::stand_ins::Ms;
 use stonegw_wire::msg::*;
 
 const JOB_ID: &str = "run-1";
--- a/crates/testkit/tests/state_limits.rs
+++ b/crates/testkit/tests/store_limits.rs
@@ -1,6 +1,6 @@
 //! The stand-in's state service refuses what is beyond its limits, also after they were lowered.
 use serde_json::{json, Value};
-use stonegw_testkit::outside::{KeyValueStore, Ms, StoreLimits};
+use stonegw_testkit::stand_ins::{KeyValueStore, Ms, StoreLimits};
 use stonegw_wire::msg::{encode, Condition, Txn, Write};
 
 fn store_with_limits(value_bytes: usize, txn_ops: usize, write_rps: f64) -> KeyValueStore {
--- a/crates/wire/src/msg/mod.rs
+++ b/crates/wire/src/msg/mod.rs
@@ -3,13 +3,13 @@
 mod cloud;
 mod encoding;
 mod error;
-mod state;
+mod store;
 mod submission;
 mod worker;
 
 pub use cloud::*;
 pub use encoding::*;
 pub use error::*;
-pub use state::*;
+pub use store::*;
 pub use submission::*;
 pub use worker::*;
