--- a/crates/control/src/aging.rs
+++ b/crates/control/src/aging.rs
@@ -7,7 +7,10 @@
 use crate::cluster::{JobState, Machine};
 use crate::leader::{Leader, LeaderContext};
 use std::collections::HashMap;
-use stonegw_constants as k;
+use stonegw_constants::{
+    DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS, RESOURCE_EPSILON, STARVATION_MS,
+    STARVATION_REPEAT_MS, STARVED_TASKS_DIVISOR,
+};
 use stonegw_wire::msg::JobSpec;
 
 /// What is kept for a job that waited for long.
@@ -20,8 +23,8 @@
 
 impl Leader {
     /// Sets down who is owed a start.
-    fn update_starved_tasks(&mut self, ctx: &LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    fn update_starved_tasks(&mut self, context: &LeaderContext) {
+        let now = context.now.monotonic_ms;
         for (id, w) in &mut self.jobs {
             // No room is kept for a job that fails everywhere.
             let broken = w.failures.job_is_broken();
@@ -29,29 +32,29 @@
                 w.starved_tasks = 0;
                 continue;
             }
-            let age = ctx.now.wall_ms.saturating_sub(w.submitted_at_ms);
+            let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
             let waited = match w.last_placed_at {
-                Some(at) => now >= at + k::STARVATION_REPEAT_MS,
+                Some(at) => now >= at + STARVATION_REPEAT_MS,
                 None if w.done_count > 0 || self.machines.present_tasks(id).next().is_some() => {
                     // Begun under an earlier leader.
                     w.last_placed_at = Some(now);
                     false
                 }
-                None => age >= k::STARVATION_MS,
+                None => age >= STARVATION_MS,
             };
             if waited && w.starved_tasks == 0 {
-                w.starved_tasks = (w.spec.task_count as usize).div_ceil(k::STARVED_TASKS_DIVISOR);
+                w.starved_tasks = (w.spec.task_count as usize).div_ceil(STARVED_TASKS_DIVISOR);
             }
         }
     }
 
     /// Starts what is owed, the longest accepted first.
-    pub fn place_starved(&mut self, ctx: &LeaderContext) {
-        self.update_starved_tasks(ctx);
+    pub fn place_starved(&mut self, context: &LeaderContext) {
+        self.update_starved_tasks(context);
         let mut waiting: Vec<(u64, String)> = self
             .jobs
             .iter()
-            .filter(|(_, w)| w.starved_tasks > 0 && ctx.now.monotonic_ms >= w.retry_at)
+            .filter(|(_, w)| w.starved_tasks > 0 && context.now.monotonic_ms >= w.retry_at)
             .map(|(id, w)| (w.submitted_at_ms, id.clone()))
             .collect();
         waiting.sort();
@@ -59,7 +62,7 @@
         let owed = |job: &String| works.get(job).is_some_and(|w| w.starved_tasks > 0);
         self.scheduler.aging_reservations.retain(|job, _| owed(job));
         for (_, job) in waiting {
-            while self.place_starved_task(ctx, &job) {}
+            while self.place_starved_task(context, &job) {}
             if self.jobs.get(&job).is_none_or(|w| w.starved_tasks == 0) {
                 self.scheduler.aging_reservations.remove(&job);
             }
@@ -69,30 +72,30 @@
     /// Room that the mapping leaves free goes, first fit, to jobs without a start for a while, whose
     /// tasks it put off for too small a chance or queued behind others elsewhere: a low chance is
     /// better than none beside an idle machine. Room that queued tasks wait for is taken later.
-    pub fn place_deferred(&mut self, ctx: &LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub fn place_deferred(&mut self, context: &LeaderContext) {
+        let now = context.now.monotonic_ms;
         let waited = |w: &JobState| {
             w.last_placed_at.map_or_else(
-                || ctx.now.wall_ms.saturating_sub(w.submitted_at_ms),
+                || context.now.wall_ms.saturating_sub(w.submitted_at_ms),
                 |at| now.saturating_sub(at),
             )
         };
         let waits = |id: &str, w: &JobState| {
-            waited(w) >= k::DEFERRED_PLACEMENT_MS
+            waited(w) >= DEFERRED_PLACEMENT_MS
                 && (!w.pending_tasks.is_empty() || self.machines.queued_count(id) > 0)
                 && !w.end_write_in_flight
                 && now >= w.retry_at
         };
         let waiting = self.jobs.iter().filter(|(id, w)| waits(id, w));
-        let queued = |w: &JobState| waited(w) >= k::DEFERRED_PLACEMENT_QUEUED_MS;
+        let queued = |w: &JobState| waited(w) >= DEFERRED_PLACEMENT_QUEUED_MS;
         let waiting = waiting.map(|(id, w)| (w.submitted_at_ms, id.clone(), queued(w)));
         let mut waiting: Vec<(u64, String, bool)> = waiting.collect();
         if waiting.is_empty() {
             return;
         }
         waiting.sort();
-        let roomy = self.machines_with_capacity(ctx);
-        let kept_for_s = self.backfill_windows_s(ctx);
+        let roomy = self.machines_with_capacity(context);
+        let kept_for_s = self.backfill_windows_s(context);
         for (_, job, queued) in waiting {
             let Some(spec) = self.jobs.get(&job).map(|w| w.spec.clone()) else {
                 continue;
@@ -101,20 +104,20 @@
             // Room kept for another is lent for as long as that one can't start there anyway.
             let lent = |id: &String| queued && kept_for_s.get(id).is_some_and(|s| run_s <= *s);
             let lent: Vec<String> = roomy.iter().filter(|id| lent(id)).cloned().collect();
-            while self.place_deferred_task(ctx, &job, &roomy, &lent, queued) {}
+            while self.place_deferred_task(context, &job, &roomy, &lent, queued) {}
         }
     }
 
     /// Machines with room that is kept, and in how many seconds about enough will have ended there
     /// for the task it is kept for.
-    fn backfill_windows_s(&mut self, ctx: &LeaderContext) -> HashMap<String, f64> {
+    fn backfill_windows_s(&mut self, context: &LeaderContext) -> HashMap<String, f64> {
         let mut out = HashMap::new();
         for (job, kept) in &self.scheduler.aging_reservations.clone() {
             let (AgingReservation::Machine(id), Some(w)) = (kept, self.jobs.get(job)) else {
                 continue;
             };
             let spec = w.spec.clone();
-            if let Some(s) = self.capacity_available_in_s(ctx, id, &spec) {
+            if let Some(s) = self.capacity_available_in_s(context, id, &spec) {
                 out.insert(id.clone(), s);
             }
         }
@@ -125,7 +128,7 @@
     /// is there does not end by itself.
     fn capacity_available_in_s(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         machine: &str,
         spec: &JobSpec,
     ) -> Option<f64> {
@@ -138,7 +141,7 @@
                 continue;
             };
             let ran_s = p.running_at.map_or(0.0, |at| {
-                ctx.now.monotonic_ms.saturating_sub(at) as f64 / 1e3
+                context.now.monotonic_ms.saturating_sub(at) as f64 / 1e3
             });
             // One that has run for longer than the mean may go on for as long again.
             let left_s = (self.scheduler.mean_run_s(&w.spec) - ran_s).abs();
@@ -147,9 +150,9 @@
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (left_s, c, g, mem) in ends {
             (cpus, gpus, memory) = (cpus + c, gpus + g, memory + mem);
-            let fits = cpus + k::RESOURCE_EPSILON >= spec.cpus
-                && gpus + k::RESOURCE_EPSILON >= spec.gpus
-                && memory + k::RESOURCE_EPSILON >= spec.memory_gb;
+            let fits = cpus + RESOURCE_EPSILON >= spec.cpus
+                && gpus + RESOURCE_EPSILON >= spec.gpus
+                && memory + RESOURCE_EPSILON >= spec.memory_gb;
             if fits {
                 return Some(left_s);
             }
@@ -161,7 +164,7 @@
     /// queue will do as well.
     fn place_deferred_task(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         job: &str,
         roomy: &[String],
         lent: &[String],
@@ -175,9 +178,9 @@
             return false;
         };
         let spec = &w.spec;
-        let startable = w.start_limit(ctx.now.monotonic_ms) > 0;
+        let startable = w.start_limit(context.now.monotonic_ms) > 0;
         if !startable
-            || !self.within_limit(ctx, spec, (0.0, 0.0))
+            || !self.within_limit(context, spec, (0.0, 0.0))
             || self.is_team_reserved_for_other(spec)
         {
             return false;
@@ -185,9 +188,9 @@
         let takes = |m: &&Machine| {
             (queued || m.queued.is_empty())
                 && self.has_capacity(m, spec)
-                && self.is_eligible(ctx, m, w)
+                && self.is_eligible(context, m, w)
                 && (!self.is_reserved_for_other(&m.id, job) || lent.contains(&m.id))
-                && !self.is_being_cleared(ctx.now.monotonic_ms, &m.id)
+                && !self.is_being_cleared(context.now.monotonic_ms, &m.id)
         };
         let fit = roomy.iter().filter_map(|id| self.machines.get(id));
         let fit = fit.filter(takes);
@@ -205,7 +208,7 @@
     }
 
     /// Places one task that is owed. False: there is none, or no room for it yet.
-    fn place_starved_task(&mut self, ctx: &LeaderContext, job: &str) -> bool {
+    fn place_starved_task(&mut self, context: &LeaderContext, job: &str) -> bool {
         let Some(w) = self.jobs.get(job).filter(|w| w.starved_tasks > 0) else {
             return false;
         };
@@ -215,11 +218,11 @@
         else {
             return false;
         };
-        if w.start_limit(ctx.now.monotonic_ms) == 0 {
+        if w.start_limit(context.now.monotonic_ms) == 0 {
             return false;
         }
         let spec = w.spec.clone();
-        if !self.within_limit(ctx, &spec, (0.0, 0.0)) {
+        if !self.within_limit(context, &spec, (0.0, 0.0)) {
             let kept = AgingReservation::TeamLimit(spec.team);
             self.scheduler.aging_reservations.insert(job.into(), kept);
             return false;
@@ -229,7 +232,7 @@
             .values()
             .filter(|m| {
                 self.has_capacity(m, &spec)
-                    && self.is_eligible(ctx, m, w)
+                    && self.is_eligible(context, m, w)
                     && !self.is_reserved_for_other(&m.id, job)
             })
             .min_by_key(|m| self.first_fit_key(m, &spec))
@@ -240,14 +243,14 @@
         let usable = |id: &str| {
             self.machines
                 .get(id)
-                .is_some_and(|m| self.is_eligible(ctx, m, w))
+                .is_some_and(|m| self.is_eligible(context, m, w))
         };
         if matches!(self.scheduler.aging_reservations.get(job), Some(AgingReservation::Machine(id)) if usable(id))
         {
             return false;
         }
         self.scheduler.aging_reservations.remove(job);
-        if let Some(id) = self.machine_for_aging_reservation(ctx, job, w) {
+        if let Some(id) = self.machine_for_aging_reservation(context, job, w) {
             log::info!("{job} waited for long: room on {id} is kept for it");
             self.scheduler
                 .aging_reservations
@@ -259,22 +262,24 @@
     /// Where least has to end for a task of the job to fit.
     fn machine_for_aging_reservation(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         job: &str,
         w: &JobState,
     ) -> Option<String> {
         let spec = &w.spec;
         let holds = |m: &Machine| {
             self.machine_type(&m.machine_type).is_some_and(|t| {
-                t.cpus + k::RESOURCE_EPSILON >= spec.cpus
-                    && t.gpus + k::RESOURCE_EPSILON >= spec.gpus
-                    && t.memory_gb + k::RESOURCE_EPSILON >= spec.memory_gb
+                t.cpus + RESOURCE_EPSILON >= spec.cpus
+                    && t.gpus + RESOURCE_EPSILON >= spec.gpus
+                    && t.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
             })
         };
         self.machines
             .values()
             .filter(|m| {
-                holds(m) && self.is_eligible(ctx, m, w) && !self.is_reserved_for_other(&m.id, job)
+                holds(m)
+                    && self.is_eligible(context, m, w)
+                    && !self.is_reserved_for_other(&m.id, job)
             })
             .min_by_key(|m| {
                 (
--- a/crates/control/src/autoscaler/call_results.rs
+++ b/crates/control/src/autoscaler/call_results.rs
@@ -3,23 +3,23 @@
 use crate::api::{CallResult, Millis};
 use crate::leader::{Leader, LeaderContext};
 use crate::node::describe_result;
-use stonegw_constants as k;
+use stonegw_constants::{CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS};
 
 impl Leader {
     /// A call to the cloud was answered, or no answer came.
     pub fn cloud_call_done(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         call: AutoscalerCall,
         result: CallResult,
     ) {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         if matches!(result, Ok((429, _))) {
-            self.autoscaler.calls_paused_until = now + k::CLOUD_RETRY_BACKOFF_MS;
+            self.autoscaler.calls_paused_until = now + CLOUD_RETRY_BACKOFF_MS;
         }
         match call {
             AutoscalerCall::ReadCatalog => self.catalog_done(now, result),
-            AutoscalerCall::ListMachines => self.machine_list_done(ctx, result),
+            AutoscalerCall::ListMachines => self.machine_list_done(context, result),
             AutoscalerCall::Provision(number) => self.provision_done(now, number, result),
             AutoscalerCall::Terminate(ids) => self.terminate_done(now, ids, result),
         }
@@ -38,7 +38,7 @@
                 log::warn!("delete: {}", describe_result(&other));
                 for id in ids {
                     if let Some(mut m) = self.machines.edit(&id) {
-                        m.last_delete_sent_at = now.saturating_sub(k::CLOUD_TIMEOUT_MS);
+                        m.last_delete_sent_at = now.saturating_sub(CLOUD_TIMEOUT_MS);
                     }
                 }
             }
--- a/crates/control/src/autoscaler/catalog.rs
+++ b/crates/control/src/autoscaler/catalog.rs
@@ -2,31 +2,31 @@
 use super::AutoscalerCall;
 use crate::api::{CallResult, Millis};
 use crate::leader::{Leader, LeaderContext};
-use stonegw_constants as k;
+use stonegw_constants::{CATALOG_READ_INTERVAL_MS, CLOUD_RETRY_BACKOFF_MS};
 use stonegw_wire::msg::{decode, Catalog};
 
 impl Leader {
     /// Reads the catalogue when it is time.
-    pub(super) fn request_catalog(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn request_catalog(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         if now >= self.autoscaler.next_catalog_at
             && !self.autoscaler.is_catalog_in_flight
             && self.try_take_cloud_call(now)
         {
             self.autoscaler.is_catalog_in_flight = true;
-            ctx.call_cloud(AutoscalerCall::ReadCatalog, "GET", "/catalog", vec![]);
+            context.call_cloud(AutoscalerCall::ReadCatalog, "GET", "/catalog", vec![]);
         }
     }
 
     /// The catalogue came, or is to be asked for again soon.
     pub(super) fn catalog_done(&mut self, now: Millis, result: CallResult) {
         self.autoscaler.is_catalog_in_flight = false;
-        self.autoscaler.next_catalog_at = now + k::CLOUD_RETRY_BACKOFF_MS * 2;
+        self.autoscaler.next_catalog_at = now + CLOUD_RETRY_BACKOFF_MS * 2;
         if let Ok((200, body)) = result {
             match decode::<Catalog>(&body) {
                 Ok(catalog) => {
                     self.catalog = catalog;
-                    self.autoscaler.next_catalog_at = now + k::CATALOG_READ_INTERVAL_MS;
+                    self.autoscaler.next_catalog_at = now + CATALOG_READ_INTERVAL_MS;
                 }
                 Err(e) => log::warn!("catalogue not understood: {e}"),
             }
--- a/crates/control/src/autoscaler/deadline_sizing.rs
+++ b/crates/control/src/autoscaler/deadline_sizing.rs
@@ -8,7 +8,7 @@
 use crate::cluster::Lifecycle;
 use crate::leader::{Leader, LeaderContext};
 use crate::resources::Resources;
-use stonegw_constants as k;
+use stonegw_constants::{ARRIVAL_RATE_FRACTION_LATE, ARRIVAL_RATE_WINDOW_MS};
 use stonegw_wire::msg::JobSpec;
 
 /// CPUs that work with deadlines may use.
@@ -46,8 +46,8 @@
         let at = now.saturating_sub(age_ms);
         self.autoscaler
             .deadline_arrivals
-            .retain(|a| now <= a.arrived_at + k::ARRIVAL_RATE_WINDOW_MS);
-        if age_ms < k::ARRIVAL_RATE_WINDOW_MS {
+            .retain(|a| now <= a.arrived_at + ARRIVAL_RATE_WINDOW_MS);
+        if age_ms < ARRIVAL_RATE_WINDOW_MS {
             self.autoscaler
                 .deadline_arrivals
                 .push_back(DeadlineArrival {
@@ -61,14 +61,14 @@
     /// CPUs that work with deadlines would keep busy if it kept coming as it did of late: only
     /// what goes before tasks that run so long, since what finishes soonest goes first.
     fn deadline_arrival_rate(&self, now: Millis, run_s: f64) -> f64 {
-        let recent = |a: &&DeadlineArrival| now <= a.arrived_at + k::ARRIVAL_RATE_WINDOW_MS;
+        let recent = |a: &&DeadlineArrival| now <= a.arrived_at + ARRIVAL_RATE_WINDOW_MS;
         let came = self.autoscaler.deadline_arrivals.iter().filter(recent);
         let first = came.clone().map(|a| a.arrived_at).min().unwrap_or(now);
         let before = came.filter(|a| a.run_s < run_s);
         let sum: f64 = before.map(|a| a.cpu_seconds).sum();
         let span = now
             .saturating_sub(first)
-            .clamp(k::ARRIVAL_RATE_WINDOW_MS / 2, k::ARRIVAL_RATE_WINDOW_MS);
+            .clamp(ARRIVAL_RATE_WINDOW_MS / 2, ARRIVAL_RATE_WINDOW_MS);
         sum / (span as f64 / 1e3)
     }
 
@@ -76,7 +76,7 @@
     /// first, is not rented for, though it may have to wait.
     pub(super) fn provision_for_deadlines(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         plan: &mut SizingPlan,
         mut dated: Vec<DeadlineDemand>,
         boot_s: f64,
@@ -94,9 +94,9 @@
             // What cpus that are up after `eta_s` can do by then; the last run must fit in.
             let use_s = |eta_s: f64| {
                 (demand.due_s - eta_s - demand.run_s * 0.5).max(0.0)
-                    * ctx.settings.tuning.slack_fraction
+                    * context.settings.tuning.slack_fraction
             };
-            let coming = self.expected_arrival_cpus(ctx, &demand) / have.max(1.0);
+            let coming = self.expected_arrival_cpus(context, &demand) / have.max(1.0);
             let can: f64 = capacities
                 .iter()
                 .map(|c| c.cpus * use_s(c.ready_in_s))
@@ -118,13 +118,13 @@
 
     /// CPUs that work which is still to come will take before this. Without counting them,
     /// long tasks with a late deadline would be put off until it is too late for them.
-    fn expected_arrival_cpus(&self, ctx: &LeaderContext, demand: &DeadlineDemand) -> f64 {
-        let now = ctx.now.monotonic_ms;
+    fn expected_arrival_cpus(&self, context: &LeaderContext, demand: &DeadlineDemand) -> f64 {
+        let now = context.now.monotonic_ms;
         // All that comes goes before what is late.
         if demand.is_late {
-            k::ARRIVAL_RATE_FRACTION_LATE * self.deadline_arrival_rate(now, f64::MAX)
+            ARRIVAL_RATE_FRACTION_LATE * self.deadline_arrival_rate(now, f64::MAX)
         } else {
-            ctx.settings.tuning.arrival_rate_fraction
+            context.settings.tuning.arrival_rate_fraction
                 * self.deadline_arrival_rate(now, demand.run_s)
         }
     }
--- a/crates/control/src/autoscaler/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{JobState, Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
 use std::cmp::Reverse;
-use stonegw_constants as k;
+use stonegw_constants::{DEADLINE_RUN_TIME_MULTIPLE, LATE_RUN_TIME_MULTIPLE};
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
 
 /// Tasks without a deadline that want room now.
@@ -36,7 +36,7 @@
     /// What the work at hand wants. `lasting`: the room that comes free in the end.
     pub(super) fn collect_demand(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         rooms: &[MachineCapacity],
         lasting: &[MachineCapacity],
         boot_s: f64,
@@ -48,7 +48,7 @@
             if spec.kind == JobKind::Service && spec.priority >= Priority::High {
                 self.autoscaler.reference_task = Some(spec.clone());
             }
-            let Some(tasks) = self.tasks_to_provision_for(ctx, id, work) else {
+            let Some(tasks) = self.tasks_to_provision_for(context, id, work) else {
                 continue;
             };
             if tasks > 0 && self.fits_no_machine(id, spec, lasting) {
@@ -56,9 +56,9 @@
                 undated.push(DeadlineFreeDemand { spec, tasks: 1 });
                 continue;
             }
-            if let Some(due_s) = work.seconds_to_deadline(ctx.now.wall_ms) {
+            if let Some(due_s) = work.seconds_to_deadline(context.now.wall_ms) {
                 let run_s = self.scheduler.mean_run_s(spec).max(1.0);
-                let target = reachable_target(ctx, work, due_s, run_s, boot_s);
+                let target = reachable_target(context, work, due_s, run_s, boot_s);
                 dated.push(DeadlineDemand {
                     due_s: target.due_s,
                     run_s,
@@ -71,7 +71,7 @@
                 undated.push(DeadlineFreeDemand { spec, tasks });
             }
         }
-        undated.extend(self.gangs_to_provision_for(ctx, rooms));
+        undated.extend(self.gangs_to_provision_for(context, rooms));
         undated.sort_by_key(|demand| Reverse(demand.spec.priority));
         Demand {
             deadline_free: undated,
@@ -82,7 +82,7 @@
     /// How many waiting tasks of a job its team may still start. `None`: the job wants no machine.
     fn tasks_to_provision_for(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         id: &str,
         work: &JobState,
     ) -> Option<usize> {
@@ -91,7 +91,7 @@
             return None;
         }
         let spec = &work.spec;
-        let Some(team) = ctx.settings.team(&spec.team) else {
+        let Some(team) = context.settings.team(&spec.team) else {
             return Some(waiting);
         };
         let used = self.machines.team_usage(&spec.team).0;
@@ -108,15 +108,15 @@
     /// that has most of it.
     fn gangs_to_provision_for(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         rooms: &[MachineCapacity],
     ) -> Vec<DeadlineFreeDemand> {
         let mut wanted = vec![];
-        for job in self.waiting_gangs(ctx) {
+        for job in self.waiting_gangs(context) {
             let Some(work) = self.jobs.get(&job) else {
                 continue;
             };
-            if work.failures.job_is_broken() || !self.gang_within_limit(ctx, work) {
+            if work.failures.job_is_broken() || !self.gang_within_limit(context, work) {
                 continue;
             }
             let mut spec = work.spec.clone();
@@ -171,20 +171,20 @@
 /// promised of its class: then few machines that work for a while are better than many for one
 /// run each.
 fn reachable_target(
-    ctx: &LeaderContext,
+    context: &LeaderContext,
     work: &JobState,
     due_s: f64,
     run_s: f64,
     boot_s: f64,
 ) -> CompletionTarget {
-    let age = ctx.now.wall_ms.saturating_sub(work.submitted_at_ms) as f64 / 1e3;
-    let promised = ctx.settings.slo_deadlines(&work.spec.class, run_s);
+    let age = context.now.wall_ms.saturating_sub(work.submitted_at_ms) as f64 / 1e3;
+    let promised = context.settings.slo_deadlines(&work.spec.class, run_s);
     let promises: Vec<f64> = promised.map(|p| p - age).collect();
-    let reachable = boot_s + run_s * k::DEADLINE_RUN_TIME_MULTIPLE;
+    let reachable = boot_s + run_s * DEADLINE_RUN_TIME_MULTIPLE;
     let targets = promises.iter().copied().chain([due_s]);
     let next = targets.filter(|d| *d >= reachable).min_by(f64::total_cmp);
     CompletionTarget {
-        due_s: next.unwrap_or(boot_s + run_s * k::LATE_RUN_TIME_MULTIPLE),
+        due_s: next.unwrap_or(boot_s + run_s * LATE_RUN_TIME_MULTIPLE),
         // Where more than the deadline is promised, lateness goes on to matter.
         is_late: next.is_none() && !promises.is_empty(),
     }
--- a/crates/control/src/autoscaler/gang_headroom.rs
+++ b/crates/control/src/autoscaler/gang_headroom.rs
@@ -5,7 +5,7 @@
 use crate::cluster::Machine;
 use crate::leader::{Leader, LeaderContext};
 use std::collections::HashMap;
-use stonegw_constants as k;
+use stonegw_constants::URGENT_ARRIVAL_WINDOW_MS;
 use stonegw_wire::msg::{JobSpec, MachineType};
 
 /// Room that is kept for gangs to come, in one zone.
@@ -37,9 +37,9 @@
 impl Leader {
     /// Room for the largest gang of late, in the zone that has most. A gang that has to wait for a
     /// boot is late; one that finds a zone with room for it is not.
-    pub(super) fn gang_headroom(&self, ctx: &LeaderContext) -> Option<GangHeadroom> {
+    pub(super) fn gang_headroom(&self, context: &LeaderContext) -> Option<GangHeadroom> {
         let recent =
-            |a: &&GangArrival| ctx.now.monotonic_ms <= a.arrived_at + k::URGENT_ARRIVAL_WINDOW_MS;
+            |a: &&GangArrival| context.now.monotonic_ms <= a.arrived_at + URGENT_ARRIVAL_WINDOW_MS;
         let gangs = self
             .autoscaler
             .gang_arrivals
@@ -49,7 +49,7 @@
         let cpus = |spec: &&JobSpec| f64::from(spec.task_count) * spec.cpus;
         let spec = gangs.max_by(|a, b| cpus(a).total_cmp(&cpus(b)))?.clone();
         let mut zones: HashMap<&str, u32> = HashMap::new();
-        for id in self.machines_with_capacity(ctx) {
+        for id in self.machines_with_capacity(context) {
             let Some(m) = self.machines.get(&id) else {
                 continue;
             };
@@ -72,7 +72,7 @@
     /// A gang arrived.
     pub fn record_gang_arrival(&mut self, now: Millis, spec: &JobSpec) {
         let gangs = &mut self.autoscaler.gang_arrivals;
-        gangs.retain(|a| now <= a.arrived_at + k::URGENT_ARRIVAL_WINDOW_MS);
+        gangs.retain(|a| now <= a.arrived_at + URGENT_ARRIVAL_WINDOW_MS);
         gangs.push(GangArrival {
             arrived_at: now,
             spec: spec.clone(),
--- a/crates/control/src/autoscaler/headroom.rs
+++ b/crates/control/src/autoscaler/headroom.rs
@@ -4,23 +4,23 @@
 use crate::cluster::{Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
 use crate::resources::Resources;
-use stonegw_constants as k;
+use stonegw_constants::{HEADROOM_BOOT_LATE_MULTIPLE, RESOURCE_EPSILON, URGENT_ARRIVAL_WINDOW_MS};
 use stonegw_wire::msg::{JobSpec, MachineType};
 
 impl Leader {
     /// Slots to keep for urgent tasks: a few, and the spread of what arrives during a boot.
-    pub(super) fn wanted_headroom_slots(&self, ctx: &LeaderContext) -> f64 {
+    pub(super) fn wanted_headroom_slots(&self, context: &LeaderContext) -> f64 {
         let Some(spec) = &self.autoscaler.reference_task else {
             return 0.0;
         };
         let types = self.catalog.machine_types.iter();
         let suitable = types.filter(|t| slots_on_empty_machine(t, spec) > 0);
         let boot = suitable.map(|t| t.boot_s).fold(0.0, f64::max);
-        let span = ctx
+        let span = context
             .now
             .monotonic_ms
             .saturating_sub(self.term_began_at)
-            .min(k::URGENT_ARRIVAL_WINDOW_MS) as f64
+            .min(URGENT_ARRIVAL_WINDOW_MS) as f64
             / 1e3;
         let span = span.max(boot).max(1.0);
         let (came, went) = (
@@ -30,7 +30,7 @@
         let rate = came as f64 / span;
         // While more come than go, what comes during a boot needs room that is up already.
         let growth = came.saturating_sub(went) as f64 / span;
-        ctx.settings.tuning.headroom_tasks + growth * boot + (rate * boot).sqrt()
+        context.settings.tuning.headroom_tasks + growth * boot + (rate * boot).sqrt()
     }
 
     /// An urgent service ended.
@@ -41,7 +41,7 @@
     /// An urgent service arrived.
     pub fn record_urgent_arrival(&mut self, now: Millis) {
         self.autoscaler.urgent_arrivals.push_back(now);
-        let old = |at: &Millis| now > at + k::URGENT_ARRIVAL_WINDOW_MS;
+        let old = |at: &Millis| now > at + URGENT_ARRIVAL_WINDOW_MS;
         for times in [
             &mut self.autoscaler.urgent_departures,
             &mut self.autoscaler.urgent_arrivals,
@@ -54,13 +54,13 @@
 
     /// How many usual urgent tasks could run beside those that do, pushing lesser work aside.
     /// `coming`: on machines that boot, too.
-    pub(super) fn headroom_slots(&self, ctx: &LeaderContext, coming: bool) -> f64 {
+    pub(super) fn headroom_slots(&self, context: &LeaderContext, coming: bool) -> f64 {
         let Some(spec) = &self.autoscaler.reference_task else {
             return 0.0;
         };
         let mut sum = 0.0;
         for m in self.machines.values() {
-            if m.spot || !self.counts_as_headroom(ctx, m, coming) {
+            if m.spot || !self.counts_as_headroom(context, m, coming) {
                 continue;
             }
             let Some(machine_type) = self.machine_type(&m.machine_type) else {
@@ -72,15 +72,15 @@
     }
 
     /// Room on a silent machine, or on one whose boot is overdue, is no room.
-    fn counts_as_headroom(&self, ctx: &LeaderContext, m: &Machine, coming: bool) -> bool {
-        let now = ctx.now.monotonic_ms;
+    fn counts_as_headroom(&self, context: &LeaderContext, m: &Machine, coming: bool) -> bool {
+        let now = context.now.monotonic_ms;
         let boot = self.machine_type(&m.machine_type).map_or(0.0, |t| t.boot_s);
         let age = now.saturating_sub(m.provisioned_at) as f64 / 1e3;
         match m.lifecycle {
             Lifecycle::Ready => {
-                !m.is_silent(now, ctx.settings.heartbeat_interval_s) && !m.via_store
+                !m.is_silent(now, context.settings.heartbeat_interval_s) && !m.via_store
             }
-            Lifecycle::Provisioning => coming && age < boot * k::HEADROOM_BOOT_LATE_MULTIPLE,
+            Lifecycle::Provisioning => coming && age < boot * HEADROOM_BOOT_LATE_MULTIPLE,
             _ => false,
         }
     }
@@ -97,8 +97,8 @@
                 free -= p.resources();
             }
         }
-        let by_cpus = (free.cpus + k::RESOURCE_EPSILON) / spec.cpus.max(0.01);
-        let by_memory = (free.memory_gb + k::RESOURCE_EPSILON) / spec.memory_gb.max(0.01);
+        let by_cpus = (free.cpus + RESOURCE_EPSILON) / spec.cpus.max(0.01);
+        let by_memory = (free.memory_gb + RESOURCE_EPSILON) / spec.memory_gb.max(0.01);
         by_cpus.min(by_memory).floor().max(0.0)
     }
 }
--- a/crates/control/src/autoscaler/machine_list.rs
+++ b/crates/control/src/autoscaler/machine_list.rs
@@ -5,13 +5,13 @@
 use crate::leader::{Leader, LeaderContext};
 use crate::node::describe_result;
 use std::collections::HashSet;
-use stonegw_constants as k;
+use stonegw_constants::MACHINE_LIST_INTERVAL_MS;
 use stonegw_wire::msg::{decode, ListedMachine, MachineListPage, MachineState};
 
 impl Leader {
     /// Reads the list's next page when it is time.
-    pub(super) fn request_machine_list(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn request_machine_list(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         if now >= self.autoscaler.next_list_at
             && !self.autoscaler.is_list_in_flight
             && self.try_take_cloud_call(now)
@@ -26,15 +26,15 @@
             {
                 path.push_str(&format!("&since={}", last.machine_id));
             }
-            ctx.call_cloud(AutoscalerCall::ListMachines, "GET", &path, vec![]);
+            context.call_cloud(AutoscalerCall::ListMachines, "GET", &path, vec![]);
         }
     }
 
     /// A page of the list came, or no answer did.
-    pub(super) fn machine_list_done(&mut self, ctx: &LeaderContext, result: CallResult) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn machine_list_done(&mut self, context: &LeaderContext, result: CallResult) {
+        let now = context.now.monotonic_ms;
         self.autoscaler.is_list_in_flight = false;
-        self.autoscaler.next_list_at = now + k::MACHINE_LIST_INTERVAL_MS;
+        self.autoscaler.next_list_at = now + MACHINE_LIST_INTERVAL_MS;
         let page = match result {
             Ok((200, body)) => match decode::<MachineListPage>(&body) {
                 Ok(page) => page,
@@ -60,7 +60,7 @@
                 self.apply_listed_machine(now, listed);
             }
         }
-        self.count_absent_listings(ctx, &present);
+        self.count_absent_listings(context, &present);
     }
 
     /// Takes in what the list tells of one machine.
@@ -89,9 +89,9 @@
     }
 
     /// Once listed, a machine stays listed until it is gone; but lists are old.
-    fn count_absent_listings(&mut self, ctx: &LeaderContext, present: &HashSet<String>) {
-        let now = ctx.now.monotonic_ms;
-        let lag = (ctx.settings.cloud_listing_lag_s * 2.0 * 1e3) as u64;
+    fn count_absent_listings(&mut self, context: &LeaderContext, present: &HashSet<String>) {
+        let now = context.now.monotonic_ms;
+        let lag = (context.settings.cloud_listing_lag_s * 2.0 * 1e3) as u64;
         self.machines.edit_all(|m| {
             if !present.contains(&m.id) && m.was_listed && now > m.known_since + lag {
                 m.absent_listings += 1;
--- a/crates/control/src/autoscaler/mod.rs
+++ b/crates/control/src/autoscaler/mod.rs
@@ -6,7 +6,7 @@
 use crate::pause::Pause;
 use crate::settings::TokenBucket;
 use std::collections::{HashMap, VecDeque};
-use stonegw_constants as k;
+use stonegw_constants::{AUTOSCALER_INTERVAL_MS, CATALOG_READ_INTERVAL_MS};
 use stonegw_wire::msg::{JobSpec, ListedMachine, ProvisionRequest};
 
 mod call_results;
@@ -127,7 +127,7 @@
             partial_listing: None,
             has_full_listing: false,
             is_list_in_flight: false,
-            next_catalog_at: now + k::CATALOG_READ_INTERVAL_MS,
+            next_catalog_at: now + CATALOG_READ_INTERVAL_MS,
             is_catalog_in_flight: false,
             calls_paused_until: 0,
             call_budget: None,
@@ -166,10 +166,10 @@
 
 impl Leader {
     /// Decides on the fleet's size when it is time, and makes the calls that are due.
-    pub fn run_autoscaler(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub fn run_autoscaler(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         if self.autoscaler.call_budget.is_none() {
-            let rps = ctx.settings.cloud_requests_per_s;
+            let rps = context.settings.cloud_requests_per_s;
             self.autoscaler.call_budget = Some(TokenBucket::new(rps * 0.8, (rps * 1.6).max(1.0)));
         }
         let active = self.stage == Stage::Active;
@@ -178,21 +178,21 @@
         if now >= self.autoscaler.next_sizing_at
             && (active || self.is_first_leader && self.autoscaler.has_full_listing)
         {
-            self.autoscaler.next_sizing_at = now + k::AUTOSCALER_INTERVAL_MS;
+            self.autoscaler.next_sizing_at = now + AUTOSCALER_INTERVAL_MS;
             if active {
-                self.scale_in_idle(ctx);
+                self.scale_in_idle(context);
             }
-            self.decide_size(ctx);
+            self.decide_size(context);
         }
         if now < self.autoscaler.calls_paused_until {
             return;
         }
         if active {
-            self.terminate_machines(ctx);
+            self.terminate_machines(context);
         }
-        self.send_provision(ctx);
-        self.request_machine_list(ctx);
-        self.request_catalog(ctx);
+        self.send_provision(context);
+        self.request_machine_list(context);
+        self.request_catalog(context);
     }
 
     /// Whether one more call to the cloud may go out now.
--- a/crates/control/src/autoscaler/provision.rs
+++ b/crates/control/src/autoscaler/provision.rs
@@ -5,7 +5,10 @@
 use crate::leader::{Leader, LeaderContext};
 use crate::node::describe_result;
 use std::collections::BTreeMap;
-use stonegw_constants as k;
+use stonegw_constants::{
+    CLOUD_RETRY_BACKOFF_MS, MAX_MACHINES_PER_PROVISION, PROVISION_BACKOFF_MAX_MS,
+    PROVISION_BACKOFF_MS,
+};
 use stonegw_wire::msg::{decode, encode, ErrorBody, MachineIds, ProvisionRequest};
 
 impl Leader {
@@ -20,7 +23,7 @@
             } = offer;
             log::info!("renting {left} {machine_type} in {zone}, spot {spot}");
             while left > 0 {
-                let count = left.min(k::MAX_MACHINES_PER_PROVISION);
+                let count = left.min(MAX_MACHINES_PER_PROVISION);
                 left -= count;
                 self.autoscaler.last_provision_number += 1;
                 let number = self.autoscaler.last_provision_number;
@@ -41,8 +44,8 @@
     }
 
     /// Sends the first rental that is due.
-    pub(super) fn send_provision(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn send_provision(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         let due = self.autoscaler.pending_provisions.iter().position(
             |r| matches!(r.state, ProvisionState::Due { not_before } if now >= not_before),
         );
@@ -53,7 +56,7 @@
         let renting = &mut self.autoscaler.pending_provisions[at];
         renting.state = ProvisionState::Sent;
         let (number, body) = (renting.number, encode(&renting.request));
-        ctx.call_cloud(AutoscalerCall::Provision(number), "POST", "/hosts", body);
+        context.call_cloud(AutoscalerCall::Provision(number), "POST", "/hosts", body);
     }
 
     /// A rental was answered, or no answer came.
@@ -100,7 +103,7 @@
                 let renting = &mut self.autoscaler.pending_provisions[at];
                 renting.is_unacknowledged |= matches!(other, Err(CallError::OutcomeUnknown));
                 renting.state = ProvisionState::Due {
-                    not_before: now + k::CLOUD_RETRY_BACKOFF_MS,
+                    not_before: now + CLOUD_RETRY_BACKOFF_MS,
                 };
                 log::debug!("rental: {}", describe_result(&other));
             }
@@ -112,7 +115,7 @@
         let Ok(answer) = decode::<MachineIds>(body) else {
             log::warn!("rental answer not understood");
             self.autoscaler.pending_provisions[at].state = ProvisionState::Due {
-                not_before: now + k::CLOUD_RETRY_BACKOFF_MS,
+                not_before: now + CLOUD_RETRY_BACKOFF_MS,
             };
             return;
         };
@@ -137,8 +140,8 @@
             .autoscaler
             .offer_backoffs
             .get(&offer)
-            .map_or(k::PROVISION_BACKOFF_MS, |r| {
-                (r.backoff_ms * 2).min(k::PROVISION_BACKOFF_MAX_MS)
+            .map_or(PROVISION_BACKOFF_MS, |r| {
+                (r.backoff_ms * 2).min(PROVISION_BACKOFF_MAX_MS)
             });
         let until = now + wait_ms;
         self.autoscaler.offer_backoffs.insert(
--- a/crates/control/src/autoscaler/scale_in.rs
+++ b/crates/control/src/autoscaler/scale_in.rs
@@ -6,7 +6,9 @@
 use crate::api::Millis;
 use crate::cluster::{Lifecycle, Machine, Phase};
 use crate::leader::{Leader, LeaderContext};
-use stonegw_constants as k;
+use stonegw_constants::{
+    BOOT_TIMEOUT_MULTIPLE, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MAX_MACHINES_PER_DELETE,
+};
 use stonegw_wire::msg::{encode, JobSpec, MachineIds, MachineType};
 
 /// What decides whether a machine is returned, while all machines are gone through.
@@ -67,7 +69,7 @@
         let over = if m.listed_as_running {
             self.now > m.known_since + self.silence_limit_ms
         } else {
-            age > boot * k::BOOT_TIMEOUT_MULTIPLE
+            age > boot * BOOT_TIMEOUT_MULTIPLE
         };
         over && m.last_heartbeat_at.is_none() && m.placements.is_empty()
     }
@@ -106,30 +108,30 @@
 
 impl Leader {
     /// Marks for deletion the machines that are idle or never came up.
-    pub(super) fn scale_in_idle(&mut self, ctx: &LeaderContext) {
+    pub(super) fn scale_in_idle(&mut self, context: &LeaderContext) {
         let mut returning = ScaleInReview {
-            now: ctx.now.monotonic_ms,
-            headroom_slots: self.headroom_slots(ctx, false),
-            wanted_headroom_slots: self.wanted_headroom_slots(ctx),
+            now: context.now.monotonic_ms,
+            headroom_slots: self.headroom_slots(context, false),
+            wanted_headroom_slots: self.wanted_headroom_slots(context),
             reference_task: self.autoscaler.reference_task.clone(),
             machine_types: self.catalog.machine_types.clone(),
-            idle_boots: ctx.settings.tuning.idle_retention_boots,
-            silence_limit_ms: (ctx.settings.worker_lease_s * 3e3) as u64,
-            gang_headroom: self.gang_headroom(ctx),
+            idle_boots: context.settings.tuning.idle_retention_boots,
+            silence_limit_ms: (context.settings.worker_lease_s * 3e3) as u64,
+            gang_headroom: self.gang_headroom(context),
         };
         self.machines.edit_all(|m| returning.review_machine(m));
     }
 
     /// Asks the cloud to delete the machines marked for it, again where no answer came.
-    pub(super) fn terminate_machines(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
-        let again = k::CLOUD_TIMEOUT_MS + k::CLOUD_RETRY_BACKOFF_MS;
+    pub(super) fn terminate_machines(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
+        let again = CLOUD_TIMEOUT_MS + CLOUD_RETRY_BACKOFF_MS;
         let ids: Vec<String> = self
             .machines
             .terminating()
             .filter(|m| m.last_delete_sent_at == 0 || now >= m.last_delete_sent_at + again)
             .map(|m| m.id.clone())
-            .take(k::MAX_MACHINES_PER_DELETE)
+            .take(MAX_MACHINES_PER_DELETE)
             .collect();
         if ids.is_empty() || !self.try_take_cloud_call(now) {
             return;
@@ -142,7 +144,7 @@
         let body = encode(&MachineIds {
             machine_ids: ids.clone(),
         });
-        ctx.call_cloud(
+        context.call_cloud(
             AutoscalerCall::Terminate(ids),
             "POST",
             "/hosts/delete",
--- a/crates/control/src/autoscaler/sizing.rs
+++ b/crates/control/src/autoscaler/sizing.rs
@@ -7,7 +7,7 @@
 use crate::leader::{Leader, LeaderContext, Stage};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, HashMap};
-use stonegw_constants as k;
+use stonegw_constants::{BOOT_LATE_MULTIPLE, SCALE_OUT_STEP_DIVISOR, SCALE_OUT_STEP_MIN};
 use stonegw_wire::msg::{JobSpec, MachineType};
 
 /// One decision on the fleet's size while it is made.
@@ -40,40 +40,40 @@
 
 impl Leader {
     /// Decides which machines to rent, and queues the rentals.
-    pub(super) fn decide_size(&mut self, ctx: &LeaderContext) {
+    pub(super) fn decide_size(&mut self, context: &LeaderContext) {
         let AvailableCapacity {
             free: rooms,
             eventual: lasting,
-        } = self.available_capacity(ctx);
+        } = self.available_capacity(context);
         let zones = self.machines_by_zone();
         let boot_s = self.shortest_boot_s();
         let Demand {
             deadline_free: undated,
             deadline_constrained: dated,
-        } = self.collect_demand(ctx, &rooms, &lasting, boot_s);
+        } = self.collect_demand(context, &rooms, &lasting, boot_s);
         let mut plan = SizingPlan {
-            now: ctx.now.monotonic_ms,
+            now: context.now.monotonic_ms,
             machines_by_zone: zones,
             capacities: rooms,
             provisions: BTreeMap::new(),
         };
-        self.provision_headroom(ctx, &mut plan, &undated);
+        self.provision_headroom(context, &mut plan, &undated);
         for demand in undated {
             self.provision_for(&mut plan, &demand.spec, demand.tasks, false);
         }
-        self.provision_for_deadlines(ctx, &mut plan, dated, boot_s);
+        self.provision_for_deadlines(context, &mut plan, dated, boot_s);
         self.queue_provisions(plan.now, plan.provisions);
     }
 
     /// The room on machines that are up, boot, or are being rented.
-    fn available_capacity(&self, ctx: &LeaderContext) -> AvailableCapacity {
+    fn available_capacity(&self, context: &LeaderContext) -> AvailableCapacity {
         let mut rooms: Vec<MachineCapacity> = vec![];
         let mut lasting: Vec<MachineCapacity> = vec![];
         for m in self.machines.values() {
             let Some(machine_type) = self.machine_type(&m.machine_type) else {
                 continue;
             };
-            let Some(eta_s) = self.ready_in_s(ctx, m, machine_type) else {
+            let Some(eta_s) = self.ready_in_s(context, m, machine_type) else {
                 continue;
             };
             let room = |free| MachineCapacity {
@@ -115,23 +115,24 @@
     /// Seconds until the machine is up. `None`: its room doesn't count.
     fn ready_in_s(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         m: &Machine,
         machine_type: &MachineType,
     ) -> Option<f64> {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let boot_s = machine_type.boot_s;
         let age = now.saturating_sub(m.provisioned_at) as f64 / 1e3;
         // Before the first reports, the list's word is good enough.
         let unheard = self.stage != Stage::Active
             && m.listed_as_running
             && m.lifecycle == Lifecycle::Provisioning;
-        if m.lifecycle == Lifecycle::Ready && !m.is_silent(now, ctx.settings.heartbeat_interval_s)
+        if m.lifecycle == Lifecycle::Ready
+            && !m.is_silent(now, context.settings.heartbeat_interval_s)
             || unheard
         {
             return Some(0.0);
         }
-        let coming = m.lifecycle == Lifecycle::Provisioning && age < boot_s * k::BOOT_LATE_MULTIPLE;
+        let coming = m.lifecycle == Lifecycle::Provisioning && age < boot_s * BOOT_LATE_MULTIPLE;
         coming.then(|| (boot_s - age).max(boot_s * 0.2))
     }
 
@@ -151,7 +152,7 @@
     /// Spare room for urgent services comes before lesser work, which may use it meanwhile.
     fn provision_headroom(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         plan: &mut SizingPlan,
         undated: &[DeadlineFreeDemand],
     ) {
@@ -170,10 +171,10 @@
             })
             .map(f64::from)
             .sum();
-        let have = self.headroom_slots(ctx, true) + renting;
+        let have = self.headroom_slots(context, true) + renting;
         let urgent = undated.iter().filter(|d| d.spec.priority >= spec.priority);
         let waiting: usize = urgent.map(|d| d.tasks).sum();
-        let short = waiting as f64 + self.wanted_headroom_slots(ctx) - have;
+        let short = waiting as f64 + self.wanted_headroom_slots(context) - have;
         if short > 0.0 {
             self.provision_for(plan, spec, short.ceil() as usize, true);
         }
@@ -263,8 +264,7 @@
     /// rent too many of it yet.
     fn may_provision(&self, plan: &SizingPlan, offer: &MachineOffer, spec: &JobSpec) -> bool {
         // A wrong estimate must stay cheap, for the fleet's size.
-        let step =
-            k::SCALE_OUT_STEP_MIN.max(self.machines.len() as u32 / k::SCALE_OUT_STEP_DIVISOR);
+        let step = SCALE_OUT_STEP_MIN.max(self.machines.len() as u32 / SCALE_OUT_STEP_DIVISOR);
         let refusal = self.autoscaler.offer_backoffs.get(offer);
         let waits = refusal.is_some_and(|r| plan.now < r.retry_at);
         let full = plan.provisions.get(offer).copied().unwrap_or(0) >= step;
--- a/crates/control/src/cluster/failures.rs
+++ b/crates/control/src/cluster/failures.rs
@@ -3,7 +3,10 @@
 use crate::api::Millis;
 use rand::{rngs::SmallRng, Rng};
 use std::collections::BTreeSet;
-use stonegw_constants as k;
+use stonegw_constants::{
+    BROKEN_JOB_MIN_MACHINES, START_BACKOFF_JITTER_DIVISOR, START_BACKOFF_MAX_DOUBLINGS,
+    START_BACKOFF_MAX_MS, START_BACKOFF_MS,
+};
 
 /// Failed starts of one job.
 #[derive(Clone, Debug, Default)]
@@ -26,9 +29,9 @@
     /// limit, and shortened by chance, so that jobs that failed together don't come back together.
     pub fn next_backoff_ms(&mut self, rng: &mut SmallRng) -> Millis {
         self.failed_rounds += 1;
-        let doublings = self.failed_rounds.min(k::START_BACKOFF_MAX_DOUBLINGS);
-        let wait = (k::START_BACKOFF_MS << doublings).min(k::START_BACKOFF_MAX_MS);
-        wait - rng.random_range(0..=wait / k::START_BACKOFF_JITTER_DIVISOR)
+        let doublings = self.failed_rounds.min(START_BACKOFF_MAX_DOUBLINGS);
+        let wait = (START_BACKOFF_MS << doublings).min(START_BACKOFF_MAX_MS);
+        wait - rng.random_range(0..=wait / START_BACKOFF_JITTER_DIVISOR)
     }
 
     /// A task of the job was done: whatever failed was a machine's fault. Where so many failed before that it
@@ -43,7 +46,7 @@
 
     /// It failed on so many machines, with no task done, that it most likely fails on every one.
     pub fn job_is_broken(&self) -> bool {
-        !self.has_succeeded && self.failed_machines.len() >= k::BROKEN_JOB_MIN_MACHINES
+        !self.has_succeeded && self.failed_machines.len() >= BROKEN_JOB_MIN_MACHINES
     }
 
     /// Whether its tasks keep off the machine. Where the job itself fails no machine is avoided.
--- a/crates/control/src/cluster/failures_tests.rs
+++ b/crates/control/src/cluster/failures_tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 use rand::SeedableRng;
+use stonegw_constants::{
+    BROKEN_JOB_MIN_MACHINES, START_BACKOFF_JITTER_DIVISOR, START_BACKOFF_MAX_MS, START_BACKOFF_MS,
+};
 
 #[test]
 fn waits_double_up_to_a_limit_and_differ_between_jobs() {
@@ -11,8 +14,8 @@
             .collect::<Vec<Millis>>()
     };
     for (round, wait) in waits(1).into_iter().enumerate() {
-        let most = (k::START_BACKOFF_MS << (round + 1)).min(k::START_BACKOFF_MAX_MS);
-        let least = most - most / k::START_BACKOFF_JITTER_DIVISOR;
+        let most = (START_BACKOFF_MS << (round + 1)).min(START_BACKOFF_MAX_MS);
+        let least = most - most / START_BACKOFF_JITTER_DIVISOR;
         assert!((least..=most).contains(&wait), "round {round}: {wait} ms");
     }
     assert_ne!(waits(1), waits(2));
@@ -24,7 +27,7 @@
     failures.record_failure("host-0");
     failures.record_failure("host-0");
     assert!(failures.avoids("host-0") && !failures.avoids("host-1"));
-    for n in 1..k::BROKEN_JOB_MIN_MACHINES {
+    for n in 1..BROKEN_JOB_MIN_MACHINES {
         assert!(!failures.job_is_broken());
         failures.record_failure(&format!("host-{n}"));
     }
@@ -40,7 +43,7 @@
     failures.record_failure("host-0");
     failures.record_success();
     assert!(failures.avoids("host-0"));
-    for n in 1..=k::BROKEN_JOB_MIN_MACHINES {
+    for n in 1..=BROKEN_JOB_MIN_MACHINES {
         failures.record_failure(&format!("host-{n}"));
     }
     assert!(failures.avoids("host-0") && !failures.job_is_broken());
--- a/crates/control/src/cluster/job_state.rs
+++ b/crates/control/src/cluster/job_state.rs
@@ -4,7 +4,7 @@
 use crate::gang::Gang;
 use crate::records::Bitmap;
 use std::collections::{BTreeMap, BTreeSet};
-use stonegw_constants as k;
+use stonegw_constants::START_BACKOFF_MAX_MS;
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
 
 /// An accepted job that has not ended.
@@ -87,7 +87,7 @@
         // Also a start out of a machine's queue is one that was owed: else room stays kept for it.
         self.starved_tasks = self.starved_tasks.saturating_sub(1);
         if self.failures.job_is_broken() && self.gang.is_none() {
-            self.retry_at = now + k::START_BACKOFF_MAX_MS;
+            self.retry_at = now + START_BACKOFF_MAX_MS;
         }
     }
 
--- a/crates/control/src/cluster/machine.rs
+++ b/crates/control/src/cluster/machine.rs
@@ -4,7 +4,7 @@
 use crate::api::Millis;
 use crate::pause::Pause;
 use std::collections::{BTreeSet, VecDeque};
-use stonegw_constants as k;
+use stonegw_constants::{SILENT_HEARTBEAT_INTERVALS, UNREACHABLE_MISSES};
 use stonegw_wire::msg::MachineType;
 
 /// How far a machine is between its rental and its return.
@@ -183,7 +183,7 @@
             } => misses + 1,
             Reachability::Unreachable { .. } => return,
         };
-        if misses >= k::UNREACHABLE_MISSES {
+        if misses >= UNREACHABLE_MISSES {
             log::warn!("machine {} is heard but does not hear us", self.id);
             self.set_reachability(Reachability::Unreachable { since: now });
         } else {
@@ -223,7 +223,7 @@
             Reachability::Reachable => true,
             Reachability::Suspected {
                 undelivered: misses,
-            } => misses < k::UNREACHABLE_MISSES - 1,
+            } => misses < UNREACHABLE_MISSES - 1,
             Reachability::Unreachable { .. } => false,
         }
     }
@@ -309,9 +309,7 @@
     /// Whether its reports have stayed out for too long.
     pub fn is_silent(&self, now: Millis, report_s: f64) -> bool {
         match self.last_heartbeat_at {
-            Some(at) => {
-                now.saturating_sub(at) as f64 > report_s * k::SILENT_HEARTBEAT_INTERVALS * 1e3
-            }
+            Some(at) => now.saturating_sub(at) as f64 > report_s * SILENT_HEARTBEAT_INTERVALS * 1e3,
             None => true,
         }
     }
--- a/crates/control/src/cluster/stored_state.rs
+++ b/crates/control/src/cluster/stored_state.rs
@@ -1,7 +1,9 @@
 //! Bookkeeping of the records that the leader stores: their versions and what must be written.
 use crate::api::Millis;
 use std::collections::{BTreeSet, HashSet};
-use stonegw_constants as k;
+use stonegw_constants::{
+    MACHINE_GROUP_BYTES_PER_JOB, MACHINE_GROUP_BYTES_PER_TASK, MACHINE_GROUP_OVERHEAD_BYTES,
+};
 
 /// The stored copy of something the leader writes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,7 +60,7 @@
         MachineGroup {
             stored_state,
             machines: BTreeSet::new(),
-            estimated_bytes: k::MACHINE_GROUP_OVERHEAD_BYTES,
+            estimated_bytes: MACHINE_GROUP_OVERHEAD_BYTES,
             jobs: HashSet::new(),
             is_urgent: false,
             dirty_since: 0,
@@ -84,12 +86,7 @@
     /// Bytes that one more task of the job takes at most.
     pub fn bytes_for_task(&self, job: &str) -> usize {
         let new = !self.jobs.contains(job);
-        k::MACHINE_GROUP_BYTES_PER_TASK
-            + if new {
-                k::MACHINE_GROUP_BYTES_PER_JOB
-            } else {
-                0
-            }
+        MACHINE_GROUP_BYTES_PER_TASK + if new { MACHINE_GROUP_BYTES_PER_JOB } else { 0 }
     }
 }
 
--- a/crates/control/src/gang/mod.rs
+++ b/crates/control/src/gang/mod.rs
@@ -12,7 +12,7 @@
 use crate::leader::{Leader, LeaderContext};
 use crate::pause::Pause;
 use std::collections::BTreeSet;
-use stonegw_constants as k;
+use stonegw_constants::{ATTEMPTS_PER_TERM, GANG_CHECK_INTERVAL_MS, STOP_GRACE_MARGIN_S};
 
 mod placement;
 mod reservation;
@@ -152,22 +152,22 @@
     }
 
     /// Takes every gang to the state that follows from its tasks.
-    pub fn advance_gangs(&mut self, ctx: &LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub fn advance_gangs(&mut self, context: &LeaderContext) {
+        let now = context.now.monotonic_ms;
         if !self.gangs_changed && now < self.next_gang_check_at {
             return;
         }
         self.gangs_changed = false;
-        self.next_gang_check_at = now + k::GANG_CHECK_INTERVAL_MS;
+        self.next_gang_check_at = now + GANG_CHECK_INTERVAL_MS;
         let gangs = self.jobs.iter().filter(|(_, w)| w.gang.is_some());
         let gangs: Vec<String> = gangs.map(|(id, _)| id.clone()).collect();
         for job in gangs {
-            self.advance_gang(ctx, &job);
+            self.advance_gang(context, &job);
         }
     }
 
-    fn advance_gang(&mut self, ctx: &LeaderContext, job: &str) {
-        let now = ctx.now.monotonic_ms;
+    fn advance_gang(&mut self, context: &LeaderContext, job: &str) {
+        let now = context.now.monotonic_ms;
         let members = self.gang_members(job);
         let Some(work) = self.jobs.get_mut(job) else {
             return;
@@ -188,13 +188,13 @@
             GangState::Waiting | GangState::Storing { .. } => {}
             GangState::Starting { attempt } => {
                 self.mark_startable(job, attempt, &members);
-                if self.is_eviction_imminent(ctx, job, &members) {
-                    self.stop_gang(ctx, job);
+                if self.is_eviction_imminent(context, job, &members) {
+                    self.stop_gang(context, job);
                 }
             }
             GangState::Running { .. } => {
-                if self.can_checkpoint(job) && self.is_eviction_imminent(ctx, job, &members) {
-                    self.stop_gang(ctx, job);
+                if self.can_checkpoint(job) && self.is_eviction_imminent(context, job, &members) {
+                    self.stop_gang(context, job);
                 }
             }
             GangState::Ending => self.stop_gang_members(&members, job, 0.0),
@@ -216,14 +216,19 @@
     }
 
     /// Whether a machine of the gang is taken away so soon that its tasks have to save now.
-    fn is_eviction_imminent(&self, ctx: &LeaderContext, job: &str, members: &[GangMember]) -> bool {
+    fn is_eviction_imminent(
+        &self,
+        context: &LeaderContext,
+        job: &str,
+        members: &[GangMember],
+    ) -> bool {
         let Some(work) = self.jobs.get(job) else {
             return false;
         };
         let stop_s = work.spec.checkpoint_duration_s
-            + ctx.settings.gang_loss_detection_s
-            + k::STOP_GRACE_MARGIN_S;
-        let last_moment = ctx.now.monotonic_ms + (stop_s * 1e3) as Millis;
+            + context.settings.gang_loss_detection_s
+            + STOP_GRACE_MARGIN_S;
+        let last_moment = context.now.monotonic_ms + (stop_s * 1e3) as Millis;
         let mut machines = members.iter().filter_map(|m| self.machines.get(&m.machine));
         machines.any(|m| m.eviction_at.is_some_and(|gone_at| last_moment >= gone_at))
     }
@@ -234,7 +239,7 @@
     }
 
     /// Stops the whole gang. Where every machine of it can be reached its tasks save.
-    pub fn stop_gang(&mut self, ctx: &LeaderContext, job: &str) {
+    pub fn stop_gang(&mut self, context: &LeaderContext, job: &str) {
         let members = self.gang_members(job);
         let Some(work) = self.jobs.get(job) else {
             return;
@@ -243,9 +248,10 @@
             .gang
             .as_ref()
             .is_some_and(|g| matches!(g.state, GangState::Running { .. }));
-        let saves = running && self.can_checkpoint(job) && self.are_all_reachable(ctx, &members);
+        let saves =
+            running && self.can_checkpoint(job) && self.are_all_reachable(context, &members);
         let grace_s = if saves {
-            work.spec.checkpoint_duration_s + k::STOP_GRACE_MARGIN_S
+            work.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
         } else {
             0.0
         };
@@ -256,11 +262,13 @@
 
     /// Whether a command to each of these machines would most likely arrive at once. A stop that
     /// reaches only some of a gang's tasks in time saves nothing.
-    fn are_all_reachable(&self, ctx: &LeaderContext, members: &[GangMember]) -> bool {
+    fn are_all_reachable(&self, context: &LeaderContext, members: &[GangMember]) -> bool {
         members.iter().all(|member| {
             self.machines.get(&member.machine).is_some_and(|m| {
-                let heard = !m.is_silent(ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_s)
-                    && !m.via_store
+                let heard = !m.is_silent(
+                    context.now.monotonic_ms,
+                    context.settings.heartbeat_interval_s,
+                ) && !m.via_store
                     && m.under_current_term;
                 heard && m.is_trusted() && m.command_in_flight.is_none() && m.addr.is_some()
             })
@@ -297,7 +305,7 @@
                 attempt,
                 running_since: since,
             } if gang.attempts_begun == 1 && !gang.is_run_untimed => {
-                let ours = attempt / k::ATTEMPTS_PER_TERM == self.term;
+                let ours = attempt / ATTEMPTS_PER_TERM == self.term;
                 ours.then(|| now.saturating_sub(since) as f64 / 1e3)
             }
             _ => None,
@@ -320,10 +328,10 @@
     }
 
     /// How long a waiting gang has waited.
-    fn gang_waited_ms(&self, ctx: &LeaderContext) -> Millis {
+    fn gang_waited_ms(&self, context: &LeaderContext) -> Millis {
         let ended_at = self.gang.as_ref().and_then(|g| g.last_attempt_ended_at);
-        let age = ctx.now.wall_ms.saturating_sub(self.submitted_at_ms);
-        ended_at.map_or(age, |at| ctx.now.monotonic_ms.saturating_sub(at))
+        let age = context.now.wall_ms.saturating_sub(self.submitted_at_ms);
+        ended_at.map_or(age, |at| context.now.monotonic_ms.saturating_sub(at))
     }
 }
 
--- a/crates/control/src/gang/placement.rs
+++ b/crates/control/src/gang/placement.rs
@@ -5,7 +5,7 @@
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
-use stonegw_constants as k;
+use stonegw_constants::{DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS};
 use stonegw_sched::pruner::{OverloadToggle, Pruner};
 use stonegw_wire::msg::Priority;
 
@@ -54,10 +54,10 @@
 }
 
 impl JobState {
-    fn gang_placement_policy(&self, ctx: &LeaderContext) -> PlacementPolicy {
+    fn gang_placement_policy(&self, context: &LeaderContext) -> PlacementPolicy {
         let dropped = self.gang.as_ref().is_some_and(|g| g.is_dropped);
-        let waited_long = self.gang_waited_ms(ctx) >= k::DEFERRED_PLACEMENT_MS;
-        match self.seconds_to_deadline(ctx.now.wall_ms) {
+        let waited_long = self.gang_waited_ms(context) >= DEFERRED_PLACEMENT_MS;
+        match self.seconds_to_deadline(context.now.wall_ms) {
             Some(due_s) if due_s > 0.0 && !dropped && !waited_long => {
                 PlacementPolicy::DeadlineConstrained { due_s }
             }
@@ -68,8 +68,8 @@
 
 impl Leader {
     /// Gangs that wait, those of the highest rank first, then the longest accepted.
-    pub(crate) fn waiting_gangs(&self, ctx: &LeaderContext) -> Vec<String> {
-        let waits = |w: &JobState| w.is_gang_waiting() && ctx.now.monotonic_ms >= w.retry_at;
+    pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
+        let waits = |w: &JobState| w.is_gang_waiting() && context.now.monotonic_ms >= w.retry_at;
         let waiting = self.jobs.iter().filter(|(_, w)| waits(w));
         let mut order: Vec<(Reverse<Priority>, u64, &String)> = waiting
             .map(|(id, w)| (Reverse(w.spec.priority), w.submitted_at_ms, id))
@@ -79,22 +79,22 @@
     }
 
     /// Places the gangs that need only leftover room. Urgent ones also push lesser work aside.
-    pub fn place_gangs_first_fit(&mut self, ctx: &LeaderContext) {
-        let waiting = self.waiting_gangs(ctx);
+    pub fn place_gangs_first_fit(&mut self, context: &LeaderContext) {
+        let waiting = self.waiting_gangs(context);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(ctx);
+        let roomy = self.machines_with_capacity(context);
         for job in waiting {
             let Some(work) = self.jobs.get(&job) else {
                 continue;
             };
-            if work.gang_placement_policy(ctx) != PlacementPolicy::FirstFit {
+            if work.gang_placement_policy(context) != PlacementPolicy::FirstFit {
                 continue;
             }
             let urgent = work.is_urgent();
-            if !self.place_gang(ctx, &job, &roomy) && urgent {
-                self.preempt_for_gang(ctx, &job, false);
+            if !self.place_gang(context, &job, &roomy) && urgent {
+                self.preempt_for_gang(context, &job, false);
             }
         }
     }
@@ -102,26 +102,27 @@
     /// Gangs with a deadline ahead, in the mapping: placed whole where their weakest task's chance
     /// reaches the deferring threshold, dropped whole below the drop threshold while the toggle is
     /// on. A gang is never queued on machines, so its place in a queue is the first.
-    pub fn place_deadline_gangs(&mut self, ctx: &LeaderContext) {
-        let waiting = self.waiting_gangs(ctx);
+    pub fn place_deadline_gangs(&mut self, context: &LeaderContext) {
+        let waiting = self.waiting_gangs(context);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(ctx);
+        let roomy = self.machines_with_capacity(context);
         for job in waiting {
             let Some(work) = self.jobs.get(&job) else {
                 continue;
             };
-            let PlacementPolicy::DeadlineConstrained { due_s } = work.gang_placement_policy(ctx)
+            let PlacementPolicy::DeadlineConstrained { due_s } =
+                work.gang_placement_policy(context)
             else {
                 continue;
             };
-            let Some(plan) = self.plan_gang(ctx, &job, &roomy) else {
+            let Some(plan) = self.plan_gang(context, &job, &roomy) else {
                 continue;
             };
             let chance = self.lowest_on_time_probability(&job, &plan, due_s);
             if chance >= self.scheduler.pruner.deferring_threshold {
-                self.place_planned_gang(ctx, &job, plan);
+                self.place_planned_gang(context, &job, plan);
             } else if self.scheduler.pruner.overload_toggle == OverloadToggle::On {
                 self.drop_gang_below_threshold(&job, &plan, chance);
             }
@@ -177,25 +178,35 @@
     }
 
     /// Places a gang where it fits whole. False: it does not.
-    pub(super) fn place_gang(&mut self, ctx: &LeaderContext, job: &str, roomy: &[String]) -> bool {
-        match self.plan_gang(ctx, job, roomy) {
-            Some(plan) => self.place_planned_gang(ctx, job, plan),
+    pub(super) fn place_gang(
+        &mut self,
+        context: &LeaderContext,
+        job: &str,
+        roomy: &[String],
+    ) -> bool {
+        match self.plan_gang(context, job, roomy) {
+            Some(plan) => self.place_planned_gang(context, job, plan),
             None => false,
         }
     }
 
     /// Machines for the whole gang out of these: in one zone if any will do, else spread over
     /// several where its job allows that.
-    fn plan_gang(&self, ctx: &LeaderContext, job: &str, roomy: &[String]) -> Option<GangPlacement> {
+    fn plan_gang(
+        &self,
+        context: &LeaderContext,
+        job: &str,
+        roomy: &[String],
+    ) -> Option<GangPlacement> {
         let work = self.jobs.get(job)?;
-        if !self.gang_within_limit(ctx, work)
+        if !self.gang_within_limit(context, work)
             || !work.is_urgent() && self.is_team_reserved_for_other(&work.spec)
         {
             return None;
         }
         let machines = roomy.iter().filter_map(|id| self.machines.get(id));
         let mut candidates: Vec<GangCandidate> = machines
-            .filter_map(|m| self.gang_candidate(ctx, m, work))
+            .filter_map(|m| self.gang_candidate(context, m, work))
             .collect();
         candidates.sort_by(|a, b| {
             let slots = |c: &GangCandidate| Reverse(c.slots.min(work.spec.task_count));
@@ -232,7 +243,7 @@
     /// queued tasks wait for, is none.
     fn gang_candidate(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         m: &Machine,
         work: &JobState,
     ) -> Option<GangCandidate> {
@@ -243,8 +254,8 @@
             .count_fitting(&Resources::of_task(spec));
         let queue_first = !m.queued.is_empty()
             && !work.is_urgent()
-            && work.gang_waited_ms(ctx) < k::DEFERRED_PLACEMENT_QUEUED_MS;
-        if slots == 0 || queue_first || !self.is_eligible(ctx, m, work) {
+            && work.gang_waited_ms(context) < DEFERRED_PLACEMENT_QUEUED_MS;
+        if slots == 0 || queue_first || !self.is_eligible(context, m, work) {
             return None;
         }
         // Urgent gangs take what is kept for lesser work, if need be: the alternative is to stop some.
@@ -253,7 +264,7 @@
             true => reserved.is_some_and(|priority| priority >= spec.priority),
             false => self.is_reserved_for_other(&m.id, &spec.id),
         };
-        if kept || self.is_being_cleared_for_other(ctx.now.monotonic_ms, &m.id, &spec.id) {
+        if kept || self.is_being_cleared_for_other(context.now.monotonic_ms, &m.id, &spec.id) {
             return None;
         }
         Some(GangCandidate {
@@ -267,21 +278,26 @@
     }
 
     /// Whether the team's limit leaves room for all tasks of the gang.
-    pub(crate) fn gang_within_limit(&self, ctx: &LeaderContext, work: &JobState) -> bool {
+    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, work: &JobState) -> bool {
         let others = f64::from(work.spec.task_count.saturating_sub(1));
         let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_limit(ctx, &work.spec, extra)
+        self.within_limit(context, &work.spec, extra)
     }
 
     /// Whether all tasks of the gang stay within their team's guarantee.
-    pub(super) fn gang_within_quota(&self, ctx: &LeaderContext, work: &JobState) -> bool {
+    pub(super) fn gang_within_quota(&self, context: &LeaderContext, work: &JobState) -> bool {
         let others = f64::from(work.spec.task_count.saturating_sub(1));
         let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_quota(ctx, &work.spec, extra)
+        self.within_quota(context, &work.spec, extra)
     }
 
     /// Places every task under one new attempt, or none: a record may have no room for it.
-    fn place_planned_gang(&mut self, ctx: &LeaderContext, job: &str, plan: GangPlacement) -> bool {
+    fn place_planned_gang(
+        &mut self,
+        context: &LeaderContext,
+        job: &str,
+        plan: GangPlacement,
+    ) -> bool {
         // The last guard against running twice, whatever went wrong before.
         if self.machines.present_tasks(job).next().is_some() {
             log::error!("a task of gang {job} may still be on a machine; not placed");
@@ -308,7 +324,7 @@
         log::info!(
             "gang {job}#{attempt} is placed on {} machines after {} ms",
             plan.allocations.len(),
-            self.jobs.get(job).map_or(0, |w| w.gang_waited_ms(ctx))
+            self.jobs.get(job).map_or(0, |w| w.gang_waited_ms(context))
         );
         true
     }
--- a/crates/control/src/gang/reservation.rs
+++ b/crates/control/src/gang/reservation.rs
@@ -11,7 +11,10 @@
 use crate::preemption::{PreemptionOffer, PreemptionRequest};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use stonegw_constants as k;
+use stonegw_constants::{
+    GANG_MIN_REMAINING_MS, GANG_RESERVATION_DELAY_MS, GANG_RESERVATION_MACHINES_DIVISOR,
+    GANG_RESERVATION_MAX_MS, GANG_RESERVATION_PAUSE_MS, QUOTA_RECLAIM_WAIT_MS, RESOURCE_EPSILON,
+};
 use stonegw_wire::msg::{JobKind, Priority};
 
 /// What is kept for a gang that waits.
@@ -32,8 +35,8 @@
 impl Leader {
     /// Each mapping: who waits for long has room reserved, and takes back what other teams borrow
     /// from its team's guarantee.
-    pub fn reserve_for_gangs(&mut self, ctx: &LeaderContext) {
-        let waiting = self.waiting_gangs(ctx);
+    pub fn reserve_for_gangs(&mut self, context: &LeaderContext) {
+        let waiting = self.waiting_gangs(context);
         let waits: BTreeSet<&String> = waiting.iter().collect();
         self.scheduler
             .gang_reservations
@@ -41,37 +44,37 @@
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(ctx);
+        let roomy = self.machines_with_capacity(context);
         for job in &waiting {
             let Some(work) = self.jobs.get(job) else {
                 continue;
             };
-            if work.gang_waited_ms(ctx) < k::GANG_RESERVATION_DELAY_MS
-                || self.place_gang(ctx, job, &roomy)
+            if work.gang_waited_ms(context) < GANG_RESERVATION_DELAY_MS
+                || self.place_gang(context, job, &roomy)
             {
                 continue;
             }
-            self.reserve_for_gang(ctx, job);
+            self.reserve_for_gang(context, job);
             let Some(work) = self.jobs.get(job) else {
                 continue;
             };
-            let waited = work.gang_waited_ms(ctx);
-            if waited >= k::QUOTA_RECLAIM_WAIT_MS && self.gang_within_quota(ctx, work) {
-                self.preempt_for_gang(ctx, job, true);
+            let waited = work.gang_waited_ms(context);
+            if waited >= QUOTA_RECLAIM_WAIT_MS && self.gang_within_quota(context, work) {
+                self.preempt_for_gang(context, job, true);
             }
         }
     }
 
-    fn reserve_for_gang(&mut self, ctx: &LeaderContext, job: &str) {
-        if !self.may_reserve_for_gang(ctx.now.monotonic_ms, job) {
+    fn reserve_for_gang(&mut self, context: &LeaderContext, job: &str) {
+        if !self.may_reserve_for_gang(context.now.monotonic_ms, job) {
             self.scheduler.gang_reservations.remove(job);
             return;
         }
         let Some(work) = self.jobs.get(job) else {
             return;
         };
-        if !self.gang_within_limit(ctx, work) {
-            if self.will_limit_fit_gang(ctx, work) {
+        if !self.gang_within_limit(context, work) {
+            if self.will_limit_fit_gang(context, work) {
                 let reservation = GangReservation::TeamLimit(work.spec.team.clone());
                 self.scheduler
                     .gang_reservations
@@ -79,18 +82,18 @@
             }
             return;
         }
-        if self.is_reservation_sufficient(ctx, job) {
+        if self.is_reservation_sufficient(context, job) {
             return;
         }
         self.scheduler.gang_reservations.remove(job);
-        let Some(machines) = self.machines_to_reserve(ctx, job) else {
+        let Some(machines) = self.machines_to_reserve(context, job) else {
             return;
         };
         // Most of the fleet goes on with single tasks. A gang that needs more than that part has it to
         // itself.
         let others = self.reserved_machine_count();
         if others > 0
-            && others + machines.len() > self.machines.len() / k::GANG_RESERVATION_MACHINES_DIVISOR
+            && others + machines.len() > self.machines.len() / GANG_RESERVATION_MACHINES_DIVISOR
         {
             return;
         }
@@ -116,26 +119,26 @@
             gang.reserved_since = None;
         }
         let since = *gang.reserved_since.get_or_insert(now);
-        if now >= since + k::GANG_RESERVATION_MAX_MS {
-            gang.reservation_allowed_at = now + k::GANG_RESERVATION_PAUSE_MS;
+        if now >= since + GANG_RESERVATION_MAX_MS {
+            gang.reservation_allowed_at = now + GANG_RESERVATION_PAUSE_MS;
         }
         now >= gang.reservation_allowed_at
     }
 
     /// Whether the team's limit has room for the gang once all but the team's services has ended.
-    fn will_limit_fit_gang(&self, ctx: &LeaderContext, work: &JobState) -> bool {
-        let Some(team) = ctx.settings.team(&work.spec.team) else {
+    fn will_limit_fit_gang(&self, context: &LeaderContext, work: &JobState) -> bool {
+        let Some(team) = context.settings.team(&work.spec.team) else {
             return false;
         };
         let of_team = |w: &&JobState| w.spec.team == team.name && w.spec.kind == JobKind::Service;
         let whole = |w: &JobState| f64::from(w.spec.task_count) * w.spec.cpus;
         let services: f64 = self.jobs.values().filter(of_team).map(whole).sum();
-        services + whole(work) <= team.limit_cpus + k::RESOURCE_EPSILON
+        services + whole(work) <= team.limit_cpus + RESOURCE_EPSILON
     }
 
     /// Whether the machines reserved for a gang will have room for all of it. More urgent work may have
     /// taken some of that.
-    fn is_reservation_sufficient(&self, ctx: &LeaderContext, job: &str) -> bool {
+    fn is_reservation_sufficient(&self, context: &LeaderContext, job: &str) -> bool {
         let Some(GangReservation::Machines(kept)) = self.scheduler.gang_reservations.get(job)
         else {
             return false;
@@ -144,11 +147,11 @@
             return false;
         };
         let machines = kept.iter().filter_map(|id| self.machines.get(id));
-        let usable = machines.filter(|m| self.is_eligible(ctx, m, work));
+        let usable = machines.filter(|m| self.is_eligible(context, m, work));
         let no_run_times = HashMap::new();
         let slots: usize = usable
             .map(|m| {
-                self.future_slots(ctx.now.monotonic_ms, m, work, &no_run_times)
+                self.future_slots(context.now.monotonic_ms, m, work, &no_run_times)
                     .len()
             })
             .sum();
@@ -165,12 +168,16 @@
     }
 
     /// The machines on which a gang would have its room soonest.
-    fn machines_to_reserve(&mut self, ctx: &LeaderContext, job: &str) -> Option<BTreeSet<String>> {
+    fn machines_to_reserve(
+        &mut self,
+        context: &LeaderContext,
+        job: &str,
+    ) -> Option<BTreeSet<String>> {
         let run_ms = self.mean_run_ms_by_job();
         let work = self.jobs.get(job)?;
         let mut by_zone: BTreeMap<&str, Vec<FutureSlot>> = BTreeMap::new();
         for m in self.machines.values() {
-            if self.is_reserved_for_other(&m.id, job) || !self.is_eligible(ctx, m, work) {
+            if self.is_reserved_for_other(&m.id, job) || !self.is_eligible(context, m, work) {
                 continue;
             }
             let zone = if work.spec.requires_single_zone {
@@ -179,7 +186,7 @@
                 ""
             };
             let slots = by_zone.entry(zone).or_default();
-            slots.extend(self.future_slots(ctx.now.monotonic_ms, m, work, &run_ms));
+            slots.extend(self.future_slots(context.now.monotonic_ms, m, work, &run_ms));
         }
         let tasks = work.spec.task_count as usize;
         let mut soonest: Option<(Millis, BTreeSet<String>)> = None;
@@ -194,7 +201,7 @@
                 soonest = Some((last.free_in_ms, machines));
             }
         }
-        let in_time = soonest.filter(|(at, _)| *at <= k::GANG_RESERVATION_MAX_MS);
+        let in_time = soonest.filter(|(at, _)| *at <= GANG_RESERVATION_MAX_MS);
         in_time.map(|(_, machines)| machines)
     }
 
@@ -236,7 +243,7 @@
             } else if !stays {
                 let ran = p.running_at.map_or(0, |at| now.saturating_sub(at));
                 let run = run_ms.get(&p.job).copied().unwrap_or(0);
-                ends.push((run.saturating_sub(ran).max(k::GANG_MIN_REMAINING_MS), taken));
+                ends.push((run.saturating_sub(ran).max(GANG_MIN_REMAINING_MS), taken));
             }
         }
         ends.sort_by_key(|(at, _)| *at);
@@ -257,8 +264,8 @@
 
     /// Stops lesser work so that the whole gang finds room, where that loses least; nothing is
     /// stopped where it would not suffice. `guarantee`: also what other teams run beyond theirs.
-    pub(super) fn preempt_for_gang(&mut self, ctx: &LeaderContext, job: &str, guarantee: bool) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn preempt_for_gang(&mut self, context: &LeaderContext, job: &str, guarantee: bool) {
+        let now = context.now.monotonic_ms;
         if self
             .scheduler
             .preemption_plans
@@ -271,7 +278,7 @@
         let Some(work) = self.jobs.get(job) else {
             return;
         };
-        if !self.gang_within_limit(ctx, work) {
+        if !self.gang_within_limit(context, work) {
             return;
         }
         let wanted = PreemptionRequest {
@@ -279,10 +286,10 @@
             tasks: work.spec.task_count,
             reclaims_quota: guarantee,
         };
-        let used = self.team_cpus_after_stops(ctx, guarantee);
+        let used = self.team_cpus_after_stops(context, guarantee);
         let mut by_zone: BTreeMap<&str, Vec<PreemptionOffer>> = BTreeMap::new();
         for m in self.machines.values() {
-            if !self.is_eligible(ctx, m, work) || self.is_reserved_for_other(&m.id, job) {
+            if !self.is_eligible(context, m, work) || self.is_reserved_for_other(&m.id, job) {
                 continue;
             }
             let zone = if work.spec.requires_single_zone {
@@ -290,7 +297,7 @@
             } else {
                 ""
             };
-            let offers = self.preemption_offers(ctx, m, &wanted, &claims, &used);
+            let offers = self.preemption_offers(context, m, &wanted, &claims, &used);
             by_zone.entry(zone).or_default().extend(offers);
         }
         let tasks = work.spec.task_count as usize;
@@ -301,7 +308,7 @@
         if let Some((cost, offers)) = choice {
             let stops: usize = offers.iter().map(|o| o.victims.len()).sum();
             log::info!("gang {job} pushes {stops} tasks aside, cost {cost} ms");
-            self.carry_out_preemption(ctx, job, offers, &mut claims, true);
+            self.carry_out_preemption(context, job, offers, &mut claims, true);
         }
     }
 
--- a/crates/control/src/leader/commit_results.rs
+++ b/crates/control/src/leader/commit_results.rs
@@ -1,5 +1,6 @@
 //! What follows from the answer to a transaction.
 use super::*;
+use stonegw_constants::{STORE_RETRY_BACKOFF_MAX_MS, STORE_RETRY_BACKOFF_MS};
 
 impl Leader {
     /// The bookkeeping of the record that an item changes.
@@ -56,21 +57,21 @@
     /// Takes the answer of the state service to a transaction.
     pub(super) fn commit_done(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         items: Vec<PendingWrite>,
         size: TransactionSize,
         result: CallResult,
     ) {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         self.commit_in_flight = false;
         match &result {
-            Ok((200, _)) => ctx.store_limits.record_accepted(),
-            Ok((429, _)) => ctx.store_limits.record_rate_rejected(),
+            Ok((200, _)) => context.store_limits.record_accepted(),
+            Ok((429, _)) => context.store_limits.record_rate_rejected(),
             _ => {}
         }
         match result {
             Ok((200, body)) => match decode::<TxnResponse>(&body) {
-                Ok(a) => self.apply_commit(ctx, items, a.revision),
+                Ok(a) => self.apply_commit(context, items, a.revision),
                 Err(e) => {
                     log::warn!("transaction answer not understood: {e}");
                     self.revert_unacknowledged(&items);
@@ -92,16 +93,16 @@
                         self.mark_unacknowledged(item);
                     }
                 }
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
             }
             Ok((429 | 503, _)) | Err(CallError::NotSent) => {
                 self.revert_commit(&items);
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
             }
             // The limits were lowered: the same again, in smaller parts.
-            Ok((400, _)) if ctx.store_limits.record_size_rejected(size) => {
+            Ok((400, _)) if context.store_limits.record_size_rejected(size) => {
                 self.revert_commit(&items);
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
             }
             Ok((status, body)) => {
                 log::error!(
@@ -110,12 +111,12 @@
                 );
                 self.revert_commit(&items);
                 self.deprioritize_writes(now, &items);
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MAX_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MAX_MS;
             }
             // It may have been carried out, or be applied yet: read the stamps before writing.
             Err(CallError::OutcomeUnknown | CallError::ResponseTooLarge) => {
                 self.revert_unacknowledged(&items);
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
             }
         }
     }
@@ -155,7 +156,12 @@
     }
 
     /// All of it was carried out, at this revision.
-    fn apply_commit(&mut self, ctx: &mut LeaderContext, items: Vec<PendingWrite>, revision: u64) {
+    fn apply_commit(
+        &mut self,
+        context: &mut LeaderContext,
+        items: Vec<PendingWrite>,
+        revision: u64,
+    ) {
         let mut settled: Vec<PlacementRef> = vec![];
         for item in items {
             let gone = matches!(item, PendingWrite::DeleteMachineGroup { .. });
@@ -197,14 +203,14 @@
                     exited_placements: exits,
                 } => {
                     settled.extend(exits);
-                    if let Some(j) = ctx.replica.jobs.get(&job) {
+                    if let Some(j) = context.replica.jobs.get(&job) {
                         let record = JobRecord {
                             spec: None,
                             end: Some(JobEnd::Done),
                             observed_run_times: None,
                             ..j.record.clone()
                         };
-                        ctx.replica.put_job(&job, record, revision);
+                        context.replica.put_job(&job, record, revision);
                     }
                     if let Some(s) = self
                         .jobs
--- a/crates/control/src/leader/context.rs
+++ b/crates/control/src/leader/context.rs
@@ -1,6 +1,7 @@
 //! What the leader may use of its node, and how it makes calls.
 use super::*;
 use crate::autoscaler::AutoscalerCall;
+use stonegw_constants::{CLOUD_TIMEOUT_MS, STORE_TIMEOUT_MS};
 
 /// What the leader may use of its node.
 pub struct LeaderContext<'a> {
@@ -42,7 +43,7 @@
 
     /// Reads from the state service.
     pub fn read_store(&mut self, what: LeaderCall, path: String) {
-        let wait = k::STORE_TIMEOUT_MS;
+        let wait = STORE_TIMEOUT_MS;
         self.send_call(what, Target::Store, "GET", path, vec![], wait);
     }
 
@@ -55,7 +56,7 @@
         body: Vec<u8>,
     ) {
         let (what, path) = (LeaderCall::Autoscaler(what), path.to_owned());
-        let wait = k::CLOUD_TIMEOUT_MS;
+        let wait = CLOUD_TIMEOUT_MS;
         self.send_call(what, Target::Cloud, method, path, body, wait);
     }
 }
--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -1,15 +1,18 @@
 //! Commands, in answers to reports and directly.
 use super::*;
+use stonegw_constants::{
+    DIRECT_COMMAND_TIMEOUT_MS, DUPLICATE_COMMAND_LIFETIME_MS, STOP_RESEND_INTERVAL_MS,
+};
 
 impl Leader {
     /// Commands due for a machine. `beat`: they go in the answer to its newest report.
     pub(super) fn collect_commands(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         id: &str,
         beat: bool,
     ) -> Vec<Command> {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let Some(mut m) = self.machines.edit(id) else {
             return vec![];
         };
@@ -41,7 +44,7 @@
                     } else if p.stop_grace_s.is_none()
                         && !p.inherited
                         && wanted
-                        && ctx.watermark_current
+                        && context.watermark_current
                         && (p.phase == Phase::Startable || beat)
                     {
                         p.set_phase(Phase::Sent);
@@ -58,7 +61,7 @@
                 }
                 Phase::Fetching | Phase::WaitingForGang | Phase::Running | Phase::Checkpointing => {
                     if let Some(grace_s) = p.stop_grace_s {
-                        if beat || now >= p.last_stop_sent_at + k::STOP_RESEND_INTERVAL_MS {
+                        if beat || now >= p.last_stop_sent_at + STOP_RESEND_INTERVAL_MS {
                             p.last_stop_sent_at = now;
                             out.push(Command::Stop {
                                 task_id: task,
@@ -89,22 +92,22 @@
     }
 
     /// Direct commands, where they are faster than the next report.
-    pub(super) fn send_direct_commands(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn send_direct_commands(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         let ids: Vec<String> = self
             .machines
             .with_pending_commands()
             .filter(|m| {
                 m.command_in_flight.is_none()
                     && m.addr.is_some()
-                    && !m.is_silent(now, ctx.settings.heartbeat_interval_s)
+                    && !m.is_silent(now, context.settings.heartbeat_interval_s)
                     && !m.via_store
                     && !m.is_unreachable()
                     && m.placements.iter().any(|p| match p.phase {
-                        Phase::Startable => p.stop_grace_s.is_none() && ctx.watermark_current,
+                        Phase::Startable => p.stop_grace_s.is_none() && context.watermark_current,
                         Phase::Fetching | Phase::WaitingForGang | Phase::Running => {
                             p.stop_grace_s.is_some()
-                                && now >= p.last_stop_sent_at + k::STOP_RESEND_INTERVAL_MS
+                                && now >= p.last_stop_sent_at + STOP_RESEND_INTERVAL_MS
                         }
                         _ => false,
                     })
@@ -112,7 +115,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in ids {
-            let commands = self.collect_commands(ctx, &id, false);
+            let commands = self.collect_commands(context, &id, false);
             let Some(mut m) = self.machines.edit(&id) else {
                 continue;
             };
@@ -138,15 +141,15 @@
                 incarnation: session,
                 started_attempts: runs,
             };
-            let wait = k::DIRECT_COMMAND_TIMEOUT_MS;
-            let call = ctx.send_call(call, target, "POST", "/do".into(), encode(&orders), wait);
+            let wait = DIRECT_COMMAND_TIMEOUT_MS;
+            let call = context.send_call(call, target, "POST", "/do".into(), encode(&orders), wait);
             m.command_in_flight = Some(call);
         }
     }
 
     pub(super) fn direct_command_done(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         id: &str,
         session: u64,
         runs: Vec<u64>,
@@ -157,7 +160,7 @@
             None => return,
         }
         if let Ok((200 | 409, body)) = &r {
-            if self.apply_command_reply(ctx, id, body) {
+            if self.apply_command_reply(context, id, body) {
                 return;
             }
         }
@@ -165,7 +168,7 @@
             return;
         };
         log::debug!("direct command to {id}: {}", describe_result(&r));
-        m.record_undelivered(ctx.now.monotonic_ms);
+        m.record_undelivered(context.now.monotonic_ms);
         if r == Err(CallError::NotSent) {
             for p in m.placements.iter_mut() {
                 if runs.contains(&p.attempt) && p.phase == Phase::Sent && p.sent_sequence == 0 {
@@ -186,5 +189,5 @@
 /// which was not done, is elsewhere. The worker keeps it for as long as copies may travel.
 fn may_forget(now: Millis, p: &Placement, cause: ExitCause) -> bool {
     let again = p.sent_directly && !p.inherited && cause != ExitCause::Done;
-    !again || now >= p.exited_at.unwrap_or(now) + k::DUPLICATE_COMMAND_LIFETIME_MS
+    !again || now >= p.exited_at.unwrap_or(now) + DUPLICATE_COMMAND_LIFETIME_MS
 }
--- a/crates/control/src/leader/fixture_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -1,6 +1,7 @@
 //! A leader alone with a small state service, for tests of what it stores.
 use super::*;
 use crate::store_limits::StoreLimits;
+use stonegw_constants::STORE_RETRY_BACKOFF_MS;
 
 /// Applies transactions at once and refuses what passes its limits, whatever the settings say.
 pub struct FakeStore {
@@ -244,13 +245,13 @@
     pub fn paths_sent_in_turn(&mut self, leader: &mut Leader, proven: bool) -> Vec<String> {
         self.now_ms += 100;
         let mut calls = vec![];
-        let mut ctx = context!(self, proven, calls);
-        leader.advance(&mut ctx);
+        let mut context = context!(self, proven, calls);
+        leader.advance(&mut context);
         let path = |action| match action {
             crate::api::Action::Call { path, .. } => Some(path),
             _ => None,
         };
-        std::mem::take(&mut ctx.outbox.actions)
+        std::mem::take(&mut context.outbox.actions)
             .into_iter()
             .filter_map(path)
             .collect()
@@ -259,32 +260,32 @@
     /// A machine reports.
     pub fn deliver_heartbeat(&mut self, leader: &mut Leader, report: Heartbeat) {
         let mut calls = vec![];
-        let mut ctx = context!(self, true, calls);
-        leader.handle_heartbeat(&mut ctx, report);
+        let mut context = context!(self, true, calls);
+        leader.handle_heartbeat(&mut context, report);
     }
 
     /// A tenth of a second: what is due is written, and the answer comes.
     pub fn run_turn(&mut self, leader: &mut Leader) {
         self.now_ms += 100;
         let mut calls = vec![];
-        let mut ctx = context!(self, true, calls);
-        leader.now_ms = ctx.now.monotonic_ms;
-        leader.lower_max_value_bytes(ctx.store_limits.max_value_bytes());
+        let mut context = context!(self, true, calls);
+        leader.now_ms = context.now.monotonic_ms;
+        leader.lower_max_value_bytes(context.store_limits.max_value_bytes());
         if self.answer_mode == AnswerMode::Immediate {
             for (call, result) in std::mem::take(&mut self.delayed_answers) {
-                leader.call_done(&mut ctx, call, result);
+                leader.call_done(&mut context, call, result);
             }
         }
-        leader.commit(&mut ctx);
-        let actions = std::mem::take(&mut ctx.outbox.actions);
-        let sent = std::mem::take(ctx.calls);
+        leader.commit(&mut context);
+        let actions = std::mem::take(&mut context.outbox.actions);
+        let sent = std::mem::take(context.calls);
         for (action, (_, call)) in actions.into_iter().zip(sent) {
             let crate::api::Action::Call { path, body, .. } = action else {
                 continue;
             };
             if let Some(key) = path.strip_prefix("/kv/") {
                 let answer = self.store.read(key);
-                leader.call_done(&mut ctx, call, Ok(answer));
+                leader.call_done(&mut context, call, Ok(answer));
                 continue;
             }
             let txn: Txn<StoredRecord> = decode(&body).expect("a transaction");
@@ -292,13 +293,13 @@
                 .last_refused_at
                 .map_or(Millis::MAX, |at| self.now_ms - at);
             assert!(
-                pause >= k::STORE_RETRY_BACKOFF_MS,
+                pause >= STORE_RETRY_BACKOFF_MS,
                 "busy: again after {pause} ms"
             );
             self.transactions += 1;
             self.max_writes_seen = self.max_writes_seen.max(txn.writes.len());
             if self.answer_mode == AnswerMode::RequestLost {
-                leader.call_done(&mut ctx, call, Err(CallError::OutcomeUnknown));
+                leader.call_done(&mut context, call, Err(CallError::OutcomeUnknown));
                 continue;
             }
             let answer = self.store.apply(txn);
@@ -307,10 +308,10 @@
             match self.answer_mode {
                 AnswerMode::Delayed => self.delayed_answers.push((call, Ok(answer))),
                 AnswerMode::AnswerLost => {
-                    leader.call_done(&mut ctx, call, Err(CallError::OutcomeUnknown))
+                    leader.call_done(&mut context, call, Err(CallError::OutcomeUnknown))
                 }
                 AnswerMode::Immediate | AnswerMode::RequestLost => {
-                    leader.call_done(&mut ctx, call, Ok(answer))
+                    leader.call_done(&mut context, call, Ok(answer))
                 }
             }
         }
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -1,25 +1,26 @@
 //! Reports: what a machine shows against what we hold.
 use super::*;
+use stonegw_constants::RESULT_CHUNK_TASKS;
 
 impl Leader {
     /// A worker's report; the answer renews its lease. `None`: we do not lead any more, or may
     /// not renew it.
     pub fn handle_heartbeat(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         report: Heartbeat,
     ) -> Option<CommandBatch> {
         if report.fencing_token > self.term || self.deposed {
             self.deposed = true;
             return None;
         }
-        self.now_ms = ctx.now.monotonic_ms;
-        if !ctx.watermark_current {
+        self.now_ms = context.now.monotonic_ms;
+        if !context.watermark_current {
             // The machine lives, but nothing that we say reaches it by this way.
             if self.stage != Stage::Loading {
                 let id = report.machine_id.clone();
-                if self.apply_heartbeat(ctx, report, false) {
-                    self.process_exits(ctx, &id);
+                if self.apply_heartbeat(context, report, false) {
+                    self.process_exits(context, &id);
                 }
             }
             return None;
@@ -27,19 +28,19 @@
         let mut commands = vec![];
         if self.stage == Stage::Loading {
             // Loading waits for the state service; what is cancelled does not.
-            commands = ctx.replica.stop_commands(&report);
+            commands = context.replica.stop_commands(&report);
         } else {
             let id = report.machine_id.clone();
-            let newer = self.apply_heartbeat(ctx, report, true);
+            let newer = self.apply_heartbeat(context, report, true);
             if newer {
                 if let Some(mut m) = self.machines.edit(&id) {
                     m.via_store = false;
                 }
-                self.process_exits(ctx, &id);
+                self.process_exits(context, &id);
                 if self.stage == Stage::Active {
-                    self.dispatch_queued(ctx, &id);
+                    self.dispatch_queued(context, &id);
                 }
-                commands = self.collect_commands(ctx, &id, true);
+                commands = self.collect_commands(context, &id, true);
             }
         }
         Some(CommandBatch {
@@ -54,11 +55,11 @@
     /// late, through any node.
     pub(super) fn apply_heartbeat(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         report: Heartbeat,
         beat: bool,
     ) -> bool {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let id = report.machine_id.clone();
         if self.deleted_machines.contains_key(&id) {
             return false;
@@ -82,8 +83,8 @@
         // We answered it all the while, and its lease ran out all the same; or it restarted.
         let unheard = new_session
             && m.answered_heartbeats > 1
-            && !m.is_silent(now, ctx.settings.heartbeat_interval_s);
-        if m.is_silent(now, ctx.settings.heartbeat_interval_s) {
+            && !m.is_silent(now, context.settings.heartbeat_interval_s);
+        if m.is_silent(now, context.settings.heartbeat_interval_s) {
             // What went unheard before or during a silence tells nothing of now.
             m.record_delivered();
             m.answered_heartbeats = 0;
@@ -134,14 +135,14 @@
                 },
             );
         }
-        self.reconcile_tasks(ctx, &id, &report.tasks, beat);
+        self.reconcile_tasks(context, &id, &report.tasks, beat);
         true
     }
 
     /// Takes in the report in a machine's own answer. False: it is none.
     pub(super) fn apply_command_reply(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         id: &str,
         body: &[u8],
     ) -> bool {
@@ -150,8 +151,8 @@
                 if report.fencing_token > self.term {
                     self.deposed = true;
                 } else {
-                    self.apply_heartbeat(ctx, report, false);
-                    self.process_exits(ctx, id);
+                    self.apply_heartbeat(context, report, false);
+                    self.process_exits(context, id);
                 }
                 true
             }
@@ -165,12 +166,12 @@
     /// Compares a machine's newest report with what we hold.
     fn reconcile_tasks(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         id: &str,
         tasks: &[TaskStatus],
         beat: bool,
     ) {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let mut adopt = vec![];
         let Some(mut m) = self.machines.edit(id) else {
             return;
@@ -257,25 +258,25 @@
             self.requeue_task(&job, index);
         }
         for (job, index, t) in adopt {
-            self.adopt_unknown_task(ctx, id, &job, index, &t);
+            self.adopt_unknown_task(context, id, &job, index, &t);
         }
     }
 
     /// A task that we hold nothing of. It counts until it is gone.
     fn adopt_unknown_task(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         id: &str,
         job: &str,
         index: u32,
         t: &TaskStatus,
     ) {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let phase = reported_phase(t);
         if is_present_phase(phase) {
             log::warn!("{id} has {job}/{index}#{} unknown to us", t.attempt);
         }
-        let spec = ctx
+        let spec = context
             .replica
             .jobs
             .get(job)
@@ -325,8 +326,8 @@
     }
 
     /// What exited tasks on a machine mean for their jobs.
-    pub(super) fn process_exits(&mut self, ctx: &mut LeaderContext, id: &str) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn process_exits(&mut self, context: &mut LeaderContext, id: &str) {
+        let now = context.now.monotonic_ms;
         let mut exits = vec![];
         let works = &self.jobs;
         let Some(mut m) = self.machines.edit(id) else {
@@ -349,7 +350,7 @@
                 let work = works.get(&p.job);
                 if let Some(w) = work.filter(|w| w.done_tasks.get(p.index)) {
                     // Known before; if that is stored, nothing else will settle it.
-                    let chunk = w.result_chunks.get(&(p.index / k::RESULT_CHUNK_TASKS));
+                    let chunk = w.result_chunks.get(&(p.index / RESULT_CHUNK_TASKS));
                     *settled = chunk.is_some_and(|c| {
                         !c.stored_state.dirty
                             && !c.stored_state.write_in_flight
@@ -391,7 +392,7 @@
                     w.retry_at = now;
                 }
                 w.failures.record_success();
-                let chunk = w.result_chunks.entry(index / k::RESULT_CHUNK_TASKS);
+                let chunk = w.result_chunks.entry(index / RESULT_CHUNK_TASKS);
                 let chunk = chunk.or_insert_with(|| ResultChunk::new(StoredState::absent()));
                 if !chunk.stored_state.dirty {
                     chunk.stored_state.dirty = true;
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -1,17 +1,18 @@
 //! Jobs that come and end, and what is told of them.
 use super::*;
+use stonegw_constants::MAX_MACHINES_PER_PROVISION;
 
 impl Leader {
     /// New jobs, and jobs that ended.
-    pub(super) fn apply_job_changes(&mut self, ctx: &mut LeaderContext) {
-        let changed = std::mem::take(&mut ctx.replica.changed_jobs);
+    pub(super) fn apply_job_changes(&mut self, context: &mut LeaderContext) {
+        let changed = std::mem::take(&mut context.replica.changed_jobs);
         if !changed.is_empty() {
             for e in std::mem::take(&mut self.unmatched_results) {
-                self.load_result_chunk(ctx, e);
+                self.load_result_chunk(context, e);
             }
         }
         for id in changed {
-            let Some(j) = ctx.replica.jobs.get(&id) else {
+            let Some(j) = context.replica.jobs.get(&id) else {
                 continue;
             };
             match (j.record.end, &j.record.spec) {
@@ -25,18 +26,18 @@
                     let at = j.record.submitted_at_ms;
                     let spec = spec.clone();
                     if spec.deadline_s.is_some() && !self.jobs.contains_key(&id) {
-                        let age = ctx.now.wall_ms.saturating_sub(at);
-                        self.record_deadline_arrival(ctx.now.monotonic_ms, age, &spec);
+                        let age = context.now.wall_ms.saturating_sub(at);
+                        self.record_deadline_arrival(context.now.monotonic_ms, age, &spec);
                     }
                     let new = !self.jobs.contains_key(&id) && self.stage == Stage::Active;
                     if new && spec.kind == JobKind::Service && spec.priority >= Priority::High {
-                        let now = ctx.now.monotonic_ms;
-                        for _ in 0..spec.task_count.min(k::MAX_MACHINES_PER_PROVISION) {
+                        let now = context.now.monotonic_ms;
+                        for _ in 0..spec.task_count.min(MAX_MACHINES_PER_PROVISION) {
                             self.record_urgent_arrival(now);
                         }
                     }
                     if new && spec.kind == JobKind::Gang {
-                        self.record_gang_arrival(ctx.now.monotonic_ms, &spec);
+                        self.record_gang_arrival(context.now.monotonic_ms, &spec);
                     }
                     let work = self
                         .jobs
@@ -53,7 +54,7 @@
                         w.spec.kind == JobKind::Service && w.spec.priority >= Priority::High
                     });
                     if urgent {
-                        self.record_urgent_departure(ctx.now.monotonic_ms);
+                        self.record_urgent_departure(context.now.monotonic_ms);
                     }
                     self.end_job(&id, end);
                 }
--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -1,28 +1,29 @@
 //! Loading what predecessors stored.
 use super::*;
+use stonegw_constants::{LIST_PAGE_ENTRIES, RESULT_CHUNK_TASKS, STORE_RETRY_BACKOFF_MS};
 
 impl Leader {
-    pub(super) fn load_records(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn load_records(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         match &mut self.load_cursor {
             Some((prefix, after, asked, retry_at)) => {
-                if *asked || now < *retry_at || !ctx.read_budget.try_take(now, 1.0) {
+                if *asked || now < *retry_at || !context.read_budget.try_take(now, 1.0) {
                     return;
                 }
                 *asked = true;
                 let prefix = *prefix;
-                let mut path = format!("/kv?prefix={prefix}&limit={}", k::LIST_PAGE_ENTRIES);
+                let mut path = format!("/kv?prefix={prefix}&limit={}", LIST_PAGE_ENTRIES);
                 if let Some(a) = after {
                     path.push_str(&format!("&since={a}"));
                 }
-                ctx.read_store(LeaderCall::LoadRecords { prefix }, path);
+                context.read_store(LeaderCall::LoadRecords { prefix }, path);
             }
             None => {
                 // The copy of the jobs was complete when the term began or is caught up by the
                 // watch; what changed before we looked is in `changed` or taken here.
-                let ids: Vec<String> = ctx.replica.jobs.keys().cloned().collect();
-                ctx.replica.changed_jobs = ids;
-                for seen in ctx
+                let ids: Vec<String> = context.replica.jobs.keys().cloned().collect();
+                context.replica.changed_jobs = ids;
+                for seen in context
                     .replica
                     .jobs
                     .values()
@@ -31,9 +32,9 @@
                     self.scheduler
                         .record_estimate_ratio(&seen.class, seen.run_to_estimate_ratio);
                 }
-                self.apply_job_changes(ctx);
+                self.apply_job_changes(context);
                 self.is_first_leader = self.machine_groups.is_empty();
-                let period = (ctx.settings.heartbeat_interval_s * 1.25 * 1e3) as u64;
+                let period = (context.settings.heartbeat_interval_s * 1.25 * 1e3) as u64;
                 self.set_stage(Stage::AwaitingHeartbeats {
                     until: self.term_began_at.max(now.saturating_sub(period)) + period,
                 });
@@ -41,13 +42,13 @@
         }
     }
 
-    pub(super) fn load_records_done(&mut self, ctx: &mut LeaderContext, result: CallResult) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn load_records_done(&mut self, context: &mut LeaderContext, result: CallResult) {
+        let now = context.now.monotonic_ms;
         let Some((prefix, _, asked, retry_at)) = &mut self.load_cursor else {
             return;
         };
         *asked = false;
-        *retry_at = now + k::STORE_RETRY_BACKOFF_MS;
+        *retry_at = now + STORE_RETRY_BACKOFF_MS;
         let Ok((200, body)) = result else {
             log::debug!("load failed: {}", describe_result(&result));
             return;
@@ -63,7 +64,7 @@
         } else {
             page::<ResultChunkRecord>(&body).map(|(items, next)| {
                 for e in items {
-                    self.load_result_chunk(ctx, e);
+                    self.load_result_chunk(context, e);
                 }
                 next
             })
@@ -142,7 +143,7 @@
 
     pub(super) fn load_result_chunk(
         &mut self,
-        ctx: &mut LeaderContext,
+        context: &mut LeaderContext,
         e: Entry<ResultChunkRecord>,
     ) {
         let Some((job, chunk)) = e
@@ -152,7 +153,7 @@
         else {
             return;
         };
-        let known = ctx.replica.jobs.get(job);
+        let known = context.replica.jobs.get(job);
         match known {
             Some(j) if j.record.end.is_none() => {
                 let Some(spec) = &j.record.spec else { return };
@@ -163,7 +164,7 @@
                     .or_insert_with(|| JobState::new(spec.clone(), at));
                 if let Err(why) = work
                     .done_tasks
-                    .merge(chunk * k::RESULT_CHUNK_TASKS, &e.value.done_bitmap)
+                    .merge(chunk * RESULT_CHUNK_TASKS, &e.value.done_bitmap)
                 {
                     log::error!("results of {} not understood: {why}", e.key);
                 }
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -1,6 +1,7 @@
 //! Puts the records of machines that are due into a transaction.
 use super::transaction_builder::TransactionBuilder;
 use super::*;
+use stonegw_constants::MACHINE_GROUP_OVERHEAD_BYTES;
 
 /// What a group's record holds now, and which attempts it holds for the first time.
 pub(super) fn machine_group_record(
@@ -81,7 +82,7 @@
             let size = json_size_bytes(&record);
             // Its bytes were counted too low; the next flush divides it.
             if size > self.max_value_bytes {
-                shard.estimated_bytes = size + k::MACHINE_GROUP_OVERHEAD_BYTES;
+                shard.estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
                 continue;
             }
             let n = number;
@@ -104,7 +105,7 @@
             if !draft.add_write(machine_group_key(n), version, value, item) {
                 continue;
             }
-            shard.estimated_bytes = size + k::MACHINE_GROUP_OVERHEAD_BYTES;
+            shard.estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
             shard.jobs = jobs;
             shard.stored_state.dirty = false;
             shard.stored_state.stale = false;
--- a/crates/control/src/leader/machine_group_split.rs
+++ b/crates/control/src/leader/machine_group_split.rs
@@ -5,6 +5,7 @@
 //! so that every placement stands in some record at any moment; between, it stands in two.
 use super::machine_group_records::machine_group_record;
 use super::*;
+use stonegw_constants::MACHINE_GROUP_OVERHEAD_BYTES;
 
 /// How the machines of a record are divided.
 #[derive(Debug, Default, PartialEq)]
@@ -82,7 +83,7 @@
         };
         let parts = divide_group(&self.machines, old, self.max_value_bytes);
         let (urgent, since) = (old.is_urgent, old.dirty_since);
-        old.estimated_bytes = size + k::MACHINE_GROUP_OVERHEAD_BYTES;
+        old.estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
         old.machines.clone_from(&parts.oversized);
         old.is_urgent = false;
         // What remains has nothing to write before it changes again; an empty one is to be deleted.
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -1,5 +1,10 @@
 //! Machines that fall silent or don't hear us, and machines that are gone.
 use super::*;
+use stonegw_constants::{
+    DELETED_MACHINE_RETENTION_MS, DIRECT_COMMAND_TIMEOUT_MS, LOST_LEASE_MULTIPLE,
+    LOST_URGENT_MARGIN_MS, MASS_SILENCE_FRACTION, MASS_SILENCE_MIN_MACHINES, UNREACHABLE_MS,
+    UNREACHABLE_PROBE_INTERVAL_MS, WORKER_ATTEMPT_TIMEOUT_MS, ZONE_PARTITION_FRACTION,
+};
 
 /// How many machines count, how many of them are silent, and how many don't hear us.
 #[derive(Clone, Copy, Default)]
@@ -12,12 +17,12 @@
 }
 
 impl Leader {
-    pub(super) fn check_machines(&mut self, ctx: &LeaderContext) {
-        let now = ctx.now.monotonic_ms;
-        let report_s = ctx.settings.heartbeat_interval_s;
-        let lease_ms = (ctx.settings.worker_lease_s * 1e3) as u64;
-        let lost_ms = (ctx.settings.worker_lease_s * k::LOST_LEASE_MULTIPLE * 1e3) as u64;
-        let settled = self.stage == Stage::Active && self.lease_is_valid(ctx);
+    pub(super) fn check_machines(&mut self, context: &LeaderContext) {
+        let now = context.now.monotonic_ms;
+        let report_s = context.settings.heartbeat_interval_s;
+        let lease_ms = (context.settings.worker_lease_s * 1e3) as u64;
+        let lost_ms = (context.settings.worker_lease_s * LOST_LEASE_MULTIPLE * 1e3) as u64;
+        let settled = self.stage == Stage::Active && self.lease_is_valid(context);
         let mut total = MachineCounts::default();
         let mut zones: HashMap<&str, MachineCounts> = HashMap::new();
         // Machines that a predecessor left with tasks count before they are heard.
@@ -39,31 +44,31 @@
         let part = |n: usize, p: f64| n as f64 > total.total as f64 * p;
         // What ends does not end for all at once: those that come back later are waited for.
         let later = now
-            + k::WORKER_ATTEMPT_TIMEOUT_MS * (ctx.settings.peers.len() as u64 + 1)
+            + WORKER_ATTEMPT_TIMEOUT_MS * (context.settings.peers.len() as u64 + 1)
             + (report_s * 1e3) as u64;
         // When many fall silent together, the trouble is more likely ours, or a cut that ends.
         if settled
-            && total.silent > k::MASS_SILENCE_MIN_MACHINES
-            && part(total.silent, k::MASS_SILENCE_FRACTION)
+            && total.silent > MASS_SILENCE_MIN_MACHINES
+            && part(total.silent, MASS_SILENCE_FRACTION)
         {
             self.mass_silence_until = later;
         }
         let many = now < self.mass_silence_until;
         // The same holds when many don't hear us, until the last may hear again.
         if settled
-            && total.unreachable > k::MASS_SILENCE_MIN_MACHINES
-            && part(total.unreachable, k::MASS_SILENCE_FRACTION)
+            && total.unreachable > MASS_SILENCE_MIN_MACHINES
+            && part(total.unreachable, MASS_SILENCE_FRACTION)
         {
             self.mass_unreachable_until = later;
         }
         let many_deaf = now < self.mass_unreachable_until;
-        if settled && total.total > 1 && ctx.may_resign {
+        if settled && total.total > 1 && context.may_resign {
             let last = self
                 .machines
                 .values()
                 .filter_map(|m| m.last_heartbeat_at)
                 .max();
-            if last.is_some_and(|at| now > at.max(self.term_began_at) + k::UNREACHABLE_MS) {
+            if last.is_some_and(|at| now > at.max(self.term_began_at) + UNREACHABLE_MS) {
                 log::warn!("term {}: no machine is heard; resigning", self.term);
                 self.resigned = true;
                 self.deposed = true;
@@ -72,14 +77,14 @@
         }
         let period = (report_s * 1.25 * 1e3) as u64;
         let urgent_ms =
-            (period + 2 * k::WORKER_ATTEMPT_TIMEOUT_MS + k::LOST_URGENT_MARGIN_MS).min(lost_ms);
-        let few = total.silent <= k::MASS_SILENCE_MIN_MACHINES || !many;
+            (period + 2 * WORKER_ATTEMPT_TIMEOUT_MS + LOST_URGENT_MARGIN_MS).min(lost_ms);
+        let few = total.silent <= MASS_SILENCE_MIN_MACHINES || !many;
         // Nearly a whole zone that falls silent, or is heard by a node beside it only, is most
         // likely cut off, and comes back.
         for (zone, t) in zones {
             let away = t.silent + t.via_store;
-            if away > k::MASS_SILENCE_MIN_MACHINES
-                && away as f64 >= t.total as f64 * k::ZONE_PARTITION_FRACTION
+            if away > MASS_SILENCE_MIN_MACHINES
+                && away as f64 >= t.total as f64 * ZONE_PARTITION_FRACTION
             {
                 self.zones_partitioned_until.insert(zone.to_owned(), later);
             }
@@ -146,13 +151,13 @@
             self.withdraw_unsent(&id, closing);
         }
         self.deleted_machines
-            .retain(|_, at| now < *at + k::DELETED_MACHINE_RETENTION_MS);
+            .retain(|_, at| now < *at + DELETED_MACHINE_RETENTION_MS);
     }
 
     /// Asks machines that don't hear us, or are not trusted to: an answer shows that they do again.
     /// Nothing else would, for nothing is sent there.
-    pub(super) fn probe_unreachable_machines(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn probe_unreachable_machines(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         let due: Vec<(String, String)> = self
             .machines
             .values()
@@ -163,18 +168,18 @@
             .collect();
         for (machine, addr) in due {
             if let Some(mut m) = self.machines.edit(&machine) {
-                m.next_probe_at = now + k::UNREACHABLE_PROBE_INTERVAL_MS;
+                m.next_probe_at = now + UNREACHABLE_PROBE_INTERVAL_MS;
             }
             let call = LeaderCall::Probe { machine };
             let target = Target::Worker(addr);
-            let wait = k::DIRECT_COMMAND_TIMEOUT_MS;
-            ctx.send_call(call, target, "GET", "/inspect".into(), vec![], wait);
+            let wait = DIRECT_COMMAND_TIMEOUT_MS;
+            context.send_call(call, target, "GET", "/inspect".into(), vec![], wait);
         }
     }
 
-    pub(super) fn probe_done(&mut self, ctx: &mut LeaderContext, id: &str, result: CallResult) {
+    pub(super) fn probe_done(&mut self, context: &mut LeaderContext, id: &str, result: CallResult) {
         if let Ok((200, body)) = result {
-            self.apply_command_reply(ctx, id, &body);
+            self.apply_command_reply(context, id, &body);
         }
     }
 
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -20,7 +20,10 @@
 use crate::store_limits::{StoreLimits, TransactionSize};
 use rand::{rngs::SmallRng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use stonegw_constants as k;
+use stonegw_constants::{
+    ATTEMPTS_PER_TERM, LEADER_RENEW_INTERVAL_MS, SILENCE_CHECK_INTERVAL_MS, STORE_TIMEOUT_MS,
+    SUMMARY_LOG_INTERVAL_MS,
+};
 use stonegw_wire::frame::{self, TaskCounts};
 use stonegw_wire::msg::{
     decode, encode, json_size_bytes, Catalog, Command, CommandBatch, Condition, Entry, ExitCause,
@@ -152,7 +155,7 @@
         now: Millis,
         leased_at: Millis,
         catalog: Catalog,
-        set: &Settings,
+        settings: &Settings,
     ) -> Leader {
         Leader {
             term,
@@ -167,7 +170,7 @@
             next_renewal_at: now,
             renewal_in_flight: false,
             load_cursor: Some((MACHINE_GROUPS_PREFIX, None, false, now)),
-            last_attempt: term * k::ATTEMPTS_PER_TERM,
+            last_attempt: term * ATTEMPTS_PER_TERM,
             rng: SmallRng::seed_from_u64(term),
             catalog,
             machines: Machines::default(),
@@ -176,7 +179,7 @@
             next_results_job: String::new(),
             machine_groups: BTreeMap::new(),
             unacknowledged_writes: vec![],
-            max_value_bytes: set.max_value_bytes,
+            max_value_bytes: settings.max_value_bytes,
             now_ms: now,
             deleted_machines: HashMap::new(),
             commit_in_flight: false,
@@ -210,33 +213,33 @@
     }
 
     /// What goes on by itself, once a turn.
-    pub fn advance(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub fn advance(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         self.now_ms = now;
-        self.lower_max_value_bytes(ctx.store_limits.max_value_bytes());
+        self.lower_max_value_bytes(context.store_limits.max_value_bytes());
         if now >= self.next_renewal_at && !self.renewal_in_flight {
             self.renewal_in_flight = true;
             self.last_renewal_sent_at = now;
-            self.next_renewal_at = now + k::LEADER_RENEW_INTERVAL_MS;
-            ctx.read_budget.take_unconditionally(now, 1.0);
+            self.next_renewal_at = now + LEADER_RENEW_INTERVAL_MS;
+            context.read_budget.take_unconditionally(now, 1.0);
             let path = format!("/grants/{}/touch", self.lease);
-            let wait = k::STORE_TIMEOUT_MS;
+            let wait = STORE_TIMEOUT_MS;
             let call = LeaderCall::RenewLease { sent_at: now };
-            ctx.send_call(call, Target::Store, "POST", path, vec![], wait);
+            context.send_call(call, Target::Store, "POST", path, vec![], wait);
         }
         // After a pause another may lead: neither a command nor a write nor a rental goes out.
-        if !ctx.leadership_confirmed {
+        if !context.leadership_confirmed {
             return;
         }
         match self.stage {
-            Stage::Loading => self.load_records(ctx),
+            Stage::Loading => self.load_records(context),
             Stage::AwaitingHeartbeats { until } if now >= until => {
                 self.set_stage(Stage::Active);
                 self.scheduling_needed = true;
                 // What was late before our time tells nothing of the present load.
                 for w in self.jobs.values_mut() {
                     w.deadline_missed = w
-                        .seconds_to_deadline(ctx.now.wall_ms)
+                        .seconds_to_deadline(context.now.wall_ms)
                         .is_some_and(|d| d <= 0.0);
                 }
             }
@@ -245,38 +248,39 @@
         if self.stage == Stage::Loading {
             return;
         }
-        self.apply_job_changes(ctx);
-        self.apply_relayed_heartbeats(ctx);
+        self.apply_job_changes(context);
+        self.apply_relayed_heartbeats(context);
         if now >= self.next_machine_check_at {
-            self.next_machine_check_at = now + k::SILENCE_CHECK_INTERVAL_MS;
-            self.check_machines(ctx);
-            self.probe_unreachable_machines(ctx);
+            self.next_machine_check_at = now + SILENCE_CHECK_INTERVAL_MS;
+            self.check_machines(context);
+            self.probe_unreachable_machines(context);
         }
-        self.advance_gangs(ctx);
+        self.advance_gangs(context);
         if self.stage == Stage::Active {
-            self.schedule(ctx);
+            self.schedule(context);
             if now >= self.next_summary_at {
-                self.next_summary_at = now + k::SUMMARY_LOG_INTERVAL_MS;
-                self.log_summary(ctx);
+                self.next_summary_at = now + SUMMARY_LOG_INTERVAL_MS;
+                self.log_summary(context);
             }
         }
         // A request to the cloud can be carried out late, after another leader has made its own
         // plans: so none without a lease that surely holds.
-        if (self.stage == Stage::Active || self.is_first_leader) && self.lease_is_valid(ctx) {
-            self.run_autoscaler(ctx);
+        if (self.stage == Stage::Active || self.is_first_leader) && self.lease_is_valid(context) {
+            self.run_autoscaler(context);
         }
-        self.commit(ctx);
-        self.send_direct_commands(ctx);
+        self.commit(context);
+        self.send_direct_commands(context);
     }
 
     /// Our lease surely holds: no other can lead yet.
-    pub fn lease_is_valid(&self, ctx: &LeaderContext) -> bool {
-        ctx.now.monotonic_ms < self.lease_renewed_at + ctx.settings.tuning.leader_lease_ttl_ms
+    pub fn lease_is_valid(&self, context: &LeaderContext) -> bool {
+        context.now.monotonic_ms
+            < self.lease_renewed_at + context.settings.tuning.leader_lease_ttl_ms
     }
 
     /// Reports that came through the state service.
-    fn apply_relayed_heartbeats(&mut self, ctx: &mut LeaderContext) {
-        for report in std::mem::take(&mut ctx.replica.relayed_heartbeats) {
+    fn apply_relayed_heartbeats(&mut self, context: &mut LeaderContext) {
+        for report in std::mem::take(&mut context.replica.relayed_heartbeats) {
             if report.fencing_token > self.term {
                 self.deposed = true;
                 return;
@@ -284,17 +288,17 @@
             // Without our token it may be as old as the record, and shows only that the machine was
             // there; after a change of leader a cut zone has no other way to tell even that.
             let id = report.machine_id.clone();
-            if self.apply_heartbeat(ctx, report, false) {
+            if self.apply_heartbeat(context, report, false) {
                 if let Some(mut m) = self.machines.edit(&id) {
                     m.via_store = true;
                 }
-                self.process_exits(ctx, &id);
+                self.process_exits(context, &id);
             }
         }
     }
 
     /// Takes the answer to one of its calls.
-    pub fn call_done(&mut self, ctx: &mut LeaderContext, call: LeaderCall, result: CallResult) {
+    pub fn call_done(&mut self, context: &mut LeaderContext, call: LeaderCall, result: CallResult) {
         match call {
             LeaderCall::RenewLease { sent_at: sent } => {
                 // The answer to an earlier try leaves the present one open.
@@ -307,21 +311,23 @@
                     self.deposed = true;
                 }
             }
-            LeaderCall::LoadRecords { .. } => self.load_records_done(ctx, result),
+            LeaderCall::LoadRecords { .. } => self.load_records_done(context, result),
             LeaderCall::Commit {
                 writes: items,
                 size,
-            } => self.commit_done(ctx, items, size, result),
-            LeaderCall::ReadRevision { write: item } => self.read_revision_done(ctx, item, result),
+            } => self.commit_done(context, items, size, result),
+            LeaderCall::ReadRevision { write: item } => {
+                self.read_revision_done(context, item, result)
+            }
             LeaderCall::DirectCommand {
                 machine,
                 incarnation: session,
                 started_attempts: runs,
             } => {
-                self.direct_command_done(ctx, &machine, session, runs, result);
+                self.direct_command_done(context, &machine, session, runs, result);
             }
-            LeaderCall::Probe { machine } => self.probe_done(ctx, &machine, result),
-            LeaderCall::Autoscaler(c) => self.cloud_call_done(ctx, c, result),
+            LeaderCall::Probe { machine } => self.probe_done(context, &machine, result),
+            LeaderCall::Autoscaler(c) => self.cloud_call_done(context, c, result),
         }
     }
 }
--- a/crates/control/src/leader/placement.rs
+++ b/crates/control/src/leader/placement.rs
@@ -1,5 +1,9 @@
 //! Putting tasks on machines and taking them back.
 use super::*;
+use stonegw_constants::{
+    MACHINE_GROUP_BYTES_PER_JOB, MACHINE_GROUP_BYTES_PER_MACHINE, MACHINE_GROUP_BYTES_PER_TASK,
+    MACHINE_GROUP_MAX_MACHINES, MACHINE_GROUP_OVERHEAD_BYTES,
+};
 
 impl Leader {
     /// Puts a waiting task on a machine. Nothing goes out before it is stored. False: it waits
@@ -62,7 +66,7 @@
     pub fn group_record_has_capacity(&self, m: &Machine, job: &str) -> bool {
         let own = m.machine_group.and_then(|n| self.machine_groups.get(&n));
         own.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(job) <= self.max_value_bytes)
-            || k::MACHINE_GROUP_OVERHEAD_BYTES + bytes_to_move(m, job) <= self.max_value_bytes
+            || MACHINE_GROUP_OVERHEAD_BYTES + bytes_to_move(m, job) <= self.max_value_bytes
     }
 
     /// The record that will tell of one more task of the job on the machine. A machine whose record
@@ -78,7 +82,7 @@
             }
         }
         let bytes = bytes_to_move(m, job);
-        if !force && k::MACHINE_GROUP_OVERHEAD_BYTES + bytes > self.max_value_bytes {
+        if !force && MACHINE_GROUP_OVERHEAD_BYTES + bytes > self.max_value_bytes {
             return None;
         }
         let busy = m.placements.iter().any(Placement::is_present);
@@ -87,9 +91,10 @@
         let takes =
             |s: &MachineGroup| s.successors.is_empty() && !(busy && s.stored_state.write_in_flight);
         let roomy = |s: &MachineGroup| s.estimated_bytes.max(bytes) <= self.max_value_bytes / 2;
-        let open = self.machine_groups.iter().find(|(_, s)| {
-            takes(s) && roomy(s) && s.machines.len() < k::MACHINE_GROUP_MAX_MACHINES
-        });
+        let open = self
+            .machine_groups
+            .iter()
+            .find(|(_, s)| takes(s) && roomy(s) && s.machines.len() < MACHINE_GROUP_MAX_MACHINES);
         let open = open.map(|(n, _)| *n);
         open.or_else(|| Some(self.free_group_number()))
     }
@@ -120,7 +125,7 @@
         let new = || MachineGroup::new(StoredState::absent());
         let s = self.machine_groups.entry(n).or_insert_with(new);
         if s.machines.insert(machine.to_owned()) {
-            s.estimated_bytes += k::MACHINE_GROUP_BYTES_PER_MACHINE;
+            s.estimated_bytes += MACHINE_GROUP_BYTES_PER_MACHINE;
             for job in rows {
                 s.add_task(self.now_ms, &job);
             }
@@ -185,7 +190,7 @@
         jobs.insert(&p.job);
         tasks += 1;
     }
-    k::MACHINE_GROUP_BYTES_PER_MACHINE
-        + tasks * k::MACHINE_GROUP_BYTES_PER_TASK
-        + jobs.len() * k::MACHINE_GROUP_BYTES_PER_JOB
+    MACHINE_GROUP_BYTES_PER_MACHINE
+        + tasks * MACHINE_GROUP_BYTES_PER_TASK
+        + jobs.len() * MACHINE_GROUP_BYTES_PER_JOB
 }
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -1,6 +1,9 @@
 //! Puts the ends and the results of jobs that are due into a transaction.
 use super::transaction_builder::TransactionBuilder;
 use super::*;
+use stonegw_constants::{
+    LEADER_WRITE_FRACTION, RESULT_CHUNK_TASKS, RESULT_COMMIT_DELAY_MS, RESULT_WRITE_FRACTION,
+};
 
 /// What was done of a job, or of one chunk of it, and is still shown by a worker.
 fn done_placements(machines: &Machines, job: &str, chunk: Option<u32>) -> Vec<PlacementRef> {
@@ -11,7 +14,7 @@
                 cause: ExitCause::Done,
                 outcome_stored: false,
             };
-            let here = chunk.is_none_or(|c| p.index / k::RESULT_CHUNK_TASKS == c);
+            let here = chunk.is_none_or(|c| p.index / RESULT_CHUNK_TASKS == c);
             if p.job == job && p.phase == done && here {
                 out.push((id.clone(), p.attempt));
             }
@@ -24,11 +27,11 @@
     /// Jobs of which all tasks are done: users wait for it.
     pub(super) fn add_job_end_writes(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         draft: &mut TransactionBuilder,
     ) {
         for id in &self.jobs_to_store {
-            let (Some(w), Some(j)) = (self.jobs.get_mut(id), ctx.replica.jobs.get(id)) else {
+            let (Some(w), Some(j)) = (self.jobs.get_mut(id), context.replica.jobs.get(id)) else {
                 continue;
             };
             if w.done_count != w.spec.task_count || w.end_write_in_flight {
@@ -55,18 +58,18 @@
     /// worker tells them until they are stored.
     pub(super) fn add_result_writes(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         draft: &mut TransactionBuilder,
         most: usize,
     ) {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         // The more jobs have results, the longer each waits: together they take a part of what
         // may be written.
         let rate =
-            (ctx.settings.store_writes_per_s * k::LEADER_WRITE_FRACTION * k::RESULT_WRITE_FRACTION)
+            (context.settings.store_writes_per_s * LEADER_WRITE_FRACTION * RESULT_WRITE_FRACTION)
                 .max(0.1);
         let wait =
-            k::RESULT_COMMIT_DELAY_MS.max((self.jobs_to_store.len() as f64 / rate * 1e3) as u64);
+            RESULT_COMMIT_DELAY_MS.max((self.jobs_to_store.len() as f64 / rate * 1e3) as u64);
         let mut left = most;
         let mut settled = vec![];
         // In turn, so that none is passed over for long.
@@ -100,7 +103,7 @@
                 }
                 let bits = w
                     .done_tasks
-                    .encode(n * k::RESULT_CHUNK_TASKS, k::RESULT_CHUNK_TASKS);
+                    .encode(n * RESULT_CHUNK_TASKS, RESULT_CHUNK_TASKS);
                 let item = PendingWrite::ResultChunk {
                     job: id.clone(),
                     chunk: *n,
--- a/crates/control/src/leader/revision_reads.rs
+++ b/crates/control/src/leader/revision_reads.rs
@@ -1,17 +1,18 @@
 //! Reads the stamps of records whose last write is in doubt.
 use super::*;
+use stonegw_constants::STORE_RETRY_BACKOFF_MS;
 
 impl Leader {
     /// Reads the stamp of one key whose last write is in doubt.
-    pub(super) fn read_unacknowledged_revision(&mut self, ctx: &mut LeaderContext) -> bool {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn read_unacknowledged_revision(&mut self, context: &mut LeaderContext) -> bool {
+        let now = context.now.monotonic_ms;
         let Some(item) = self.unacknowledged_writes.last().cloned() else {
             return false;
         };
-        if ctx.read_budget.try_take(now, 1.0) {
+        if context.read_budget.try_take(now, 1.0) {
             self.revision_read_in_flight = true;
             let path = format!("/kv/{}", pending_write_key(&item));
-            ctx.read_store(LeaderCall::ReadRevision { write: item }, path);
+            context.read_store(LeaderCall::ReadRevision { write: item }, path);
         }
         true
     }
@@ -19,7 +20,7 @@
     /// Takes the stamp that was read.
     pub(super) fn read_revision_done(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         item: PendingWrite,
         result: CallResult,
     ) {
@@ -40,7 +41,7 @@
                     s.dirty = true;
                 }
             }
-            None => self.next_commit_at = ctx.now.monotonic_ms + k::STORE_RETRY_BACKOFF_MS,
+            None => self.next_commit_at = context.now.monotonic_ms + STORE_RETRY_BACKOFF_MS,
         }
     }
 }
--- a/crates/control/src/leader/summary.rs
+++ b/crates/control/src/leader/summary.rs
@@ -3,7 +3,7 @@
 
 impl Leader {
     /// One line for the log on how the fleet and the work stand.
-    pub(super) fn log_summary(&self, ctx: &LeaderContext) {
+    pub(super) fn log_summary(&self, context: &LeaderContext) {
         let mut lives: BTreeMap<&str, usize> = BTreeMap::new();
         let (mut cpus, mut used, mut held) = (0.0, 0.0, 0);
         let (mut unstored, mut unseen, mut fetching, mut running) = (0, 0, 0, 0);
@@ -11,7 +11,10 @@
             let life = match m.lifecycle {
                 Lifecycle::Provisioning => "booting",
                 Lifecycle::Ready
-                    if m.is_silent(ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_s) =>
+                    if m.is_silent(
+                        context.now.monotonic_ms,
+                        context.settings.heartbeat_interval_s,
+                    ) =>
                 {
                     "silent"
                 }
@@ -39,7 +42,7 @@
         for w in self.jobs.values() {
             let n = w.pending_tasks.len();
             waiting += n;
-            if w.seconds_to_deadline(ctx.now.wall_ms)
+            if w.seconds_to_deadline(context.now.wall_ms)
                 .is_some_and(|d| d <= 0.0)
             {
                 late += n;
--- a/crates/control/src/leader/task_failures.rs
+++ b/crates/control/src/leader/task_failures.rs
@@ -1,6 +1,7 @@
 //! Tasks that exit without being done: who is at fault, the job or the machine, and when the job is
 //! tried again.
 use super::*;
+use stonegw_constants::{FAULTY_MACHINE_EVIDENCE, PROVEN_JOB_EVIDENCE, START_BACKOFF_MS};
 
 impl Leader {
     /// A task exited without being done.
@@ -21,7 +22,7 @@
             ExitCause::UnknownTask | ExitCause::AttemptConflict => self.delay_retry(now, job),
             ExitCause::NoCapacity => {
                 if let Some(mut m) = self.machines.edit(id) {
-                    m.full_until = now + k::START_BACKOFF_MS * 2;
+                    m.full_until = now + START_BACKOFF_MS * 2;
                 }
             }
             _ => {}
@@ -60,10 +61,10 @@
         let works = &self.jobs;
         let weight = |job: &String| match works.get(job) {
             Some(work) if work.done_count == 0 => 1,
-            _ => k::PROVEN_JOB_EVIDENCE,
+            _ => PROVEN_JOB_EVIDENCE,
         };
         let evidence: usize = machine.failed_jobs.iter().map(weight).sum();
-        if evidence < k::FAULTY_MACHINE_EVIDENCE || machine.lifecycle != Lifecycle::Ready {
+        if evidence < FAULTY_MACHINE_EVIDENCE || machine.lifecycle != Lifecycle::Ready {
             return;
         }
         if let Some(mut m) = self.machines.edit(id) {
--- a/crates/control/src/leader/task_failures_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -1,5 +1,6 @@
 use super::super::fixture_tests::*;
 use super::*;
+use stonegw_constants::START_BACKOFF_MS;
 
 /// A leader with some machines that are up and some jobs of four tasks.
 fn leader_with(machines: usize, jobs: &[&str]) -> Leader {
@@ -86,7 +87,7 @@
         fail_task(&mut leader, 1_000, 0, "run-1");
     }
     let wait = leader.jobs["run-1"].retry_at - 1_000;
-    assert!(wait <= 2 * k::START_BACKOFF_MS, "{wait} ms");
+    assert!(wait <= 2 * START_BACKOFF_MS, "{wait} ms");
 }
 
 /// A job that fails everywhere is tried with one task at a time, and what waits for a retry holds no place in a
--- a/crates/control/src/leader/transaction_builder.rs
+++ b/crates/control/src/leader/transaction_builder.rs
@@ -1,5 +1,6 @@
 //! The draft of a transaction: its conditions, its writes and the room left in it.
 use super::*;
+use stonegw_constants::{MAX_TXN_BYTES, TXN_MARGIN_BYTES};
 
 /// A transaction being put together.
 pub(super) struct TransactionBuilder {
@@ -25,7 +26,7 @@
                 writes: vec![],
             },
             pending_writes: vec![],
-            bytes: k::TXN_MARGIN_BYTES,
+            bytes: TXN_MARGIN_BYTES,
             size: TransactionSize::default(),
             max_writes,
             is_full: false,
@@ -42,7 +43,7 @@
     ) -> bool {
         let value_bytes = value.as_ref().map_or(0, json_size_bytes);
         let size = value_bytes + 2 * key.len() + 120;
-        if self.pending_writes.len() >= self.max_writes || self.bytes + size > k::MAX_TXN_BYTES {
+        if self.pending_writes.len() >= self.max_writes || self.bytes + size > MAX_TXN_BYTES {
             self.is_full = true;
             return false;
         }
--- a/crates/control/src/node/budgets.rs
+++ b/crates/control/src/node/budgets.rs
@@ -1,5 +1,6 @@
 //! Divides the state service's limits among the controllers.
 use super::*;
+use stonegw_constants::{LEADER_READ_FRACTION, LEADER_WRITE_FRACTION};
 
 impl Node {
     /// The state service's limits hold for all nodes together: the leader gets the larger part.
@@ -9,8 +10,8 @@
             Role::Leader => part,
             _ => (1.0 - part) / others,
         };
-        let r = self.settings.store_requests_per_s * share(k::LEADER_READ_FRACTION);
-        let w = self.settings.store_writes_per_s * share(k::LEADER_WRITE_FRACTION);
+        let r = self.settings.store_requests_per_s * share(LEADER_READ_FRACTION);
+        let w = self.settings.store_writes_per_s * share(LEADER_WRITE_FRACTION);
         self.read_budget.set_rate(r, r.max(4.0));
         // A burst of one whole transaction must be possible, but never more than the state service
         // takes in a second: it would be refused for ever.
--- a/crates/control/src/node/call_results.rs
+++ b/crates/control/src/node/call_results.rs
@@ -1,5 +1,9 @@
 //! Hands the answer of each call to the part of the node that made it.
 use super::*;
+use stonegw_constants::{
+    CLOUD_RETRY_BACKOFF_MS, FOLLOWER_WATCH_INTERVAL_MS, STORE_RETRY_BACKOFF_MAX_MS,
+    STORE_RETRY_BACKOFF_MS,
+};
 
 impl Node {
     /// Notes whether the state service answers.
@@ -27,7 +31,7 @@
                 if c.targets_store() {
                     self.record_store_availability(&result);
                 }
-                self.with_leader(|leader, ctx| leader.call_done(ctx, c, result));
+                self.with_leader(|leader, context| leader.call_done(context, c, result));
                 return;
             }
             NodeCall::FetchCatalog => {
@@ -39,7 +43,7 @@
                     },
                     other => log::warn!("no catalogue: {}", describe_result(&other)),
                 }
-                self.next_catalog_fetch_at = now + k::CLOUD_RETRY_BACKOFF_MS;
+                self.next_catalog_fetch_at = now + CLOUD_RETRY_BACKOFF_MS;
                 return;
             }
             // A watch that hangs says nothing: during an outage open watches wait. Nor does one that
@@ -54,9 +58,9 @@
                 self.is_watching = false;
                 match self.apply_changes(result) {
                     Some(true) if self.role == Role::Leader => self.next_watch_at = now,
-                    Some(true) => self.next_watch_at = now + k::FOLLOWER_WATCH_INTERVAL_MS,
+                    Some(true) => self.next_watch_at = now + FOLLOWER_WATCH_INTERVAL_MS,
                     Some(false) => self.relist(),
-                    None => self.next_watch_at = now + k::STORE_RETRY_BACKOFF_MS,
+                    None => self.next_watch_at = now + STORE_RETRY_BACKOFF_MS,
                 }
             }
             NodeCall::ReadBarrier {
@@ -88,12 +92,12 @@
                     Err(e) => {
                         log::warn!("lease answer not understood: {e}");
                         self.set_role(Role::ElectionBackoff {
-                            until: now + k::STORE_RETRY_BACKOFF_MAX_MS,
+                            until: now + STORE_RETRY_BACKOFF_MAX_MS,
                         });
                     }
                 },
                 _ => self.set_role(Role::ElectionBackoff {
-                    until: now + k::STORE_RETRY_BACKOFF_MS,
+                    until: now + STORE_RETRY_BACKOFF_MS,
                 }),
             },
             NodeCall::Campaign { lease } => self.handle_campaign_result(lease, result),
--- a/crates/control/src/node/calls.rs
+++ b/crates/control/src/node/calls.rs
@@ -1,5 +1,6 @@
 //! The calls of a node that wait for an answer, and how a transaction is sent.
 use super::*;
+use stonegw_constants::STORE_TIMEOUT_MS;
 
 /// A call that waits for its answer, with what the answer is needed for.
 pub(super) enum NodeCall {
@@ -31,7 +32,7 @@
 impl Node {
     /// Sends a transaction to the state service.
     pub(super) fn send_transaction(&mut self, txn: &Txn<StoredRecord>, what: NodeCall) {
-        let (body, wait) = (encode(txn), k::STORE_TIMEOUT_MS);
+        let (body, wait) = (encode(txn), STORE_TIMEOUT_MS);
         let call = self
             .outbox
             .start_call(Target::Store, "POST", "/multi".into(), body, wait);
--- a/crates/control/src/node/election.rs
+++ b/crates/control/src/node/election.rs
@@ -1,5 +1,9 @@
 //! The copy of the jobs, standing for election, and the claim.
 use super::*;
+use stonegw_constants::{
+    CANDIDACY_PAUSE_MS, ELECTION_JITTER_MS, LIST_PAGE_ENTRIES, STORE_RETRY_BACKOFF_MS,
+    STORE_TIMEOUT_MS, WATCH_GRACE_MS, WATCH_LONG_POLL_MS,
+};
 
 impl Node {
     pub(super) fn advance_replica_sync(&mut self) {
@@ -13,10 +17,8 @@
             } => {
                 if !*asked && now >= *retry_at && self.read_budget.try_take(now, 1.0) {
                     *asked = true;
-                    let mut path = format!(
-                        "/kv?prefix={REPLICATED_PREFIX}&limit={}",
-                        k::LIST_PAGE_ENTRIES
-                    );
+                    let mut path =
+                        format!("/kv?prefix={REPLICATED_PREFIX}&limit={}", LIST_PAGE_ENTRIES);
                     if let Some(a) = after {
                         path.push_str(&format!("&since={a}"));
                     }
@@ -25,7 +27,7 @@
                         "GET",
                         path,
                         vec![],
-                        k::STORE_TIMEOUT_MS,
+                        STORE_TIMEOUT_MS,
                     );
                     self.calls_in_flight.insert(call, NodeCall::List);
                 }
@@ -38,10 +40,9 @@
                     self.is_watching = true;
                     let path = format!(
                         "/changes?prefix={REPLICATED_PREFIX}&since={}&holdMs={}",
-                        self.replica.revision,
-                        k::WATCH_LONG_POLL_MS
+                        self.replica.revision, WATCH_LONG_POLL_MS
                     );
-                    let wait = k::WATCH_LONG_POLL_MS + k::WATCH_GRACE_MS;
+                    let wait = WATCH_LONG_POLL_MS + WATCH_GRACE_MS;
                     let call = self
                         .outbox
                         .start_call(Target::Store, "GET", path, vec![], wait);
@@ -55,7 +56,7 @@
         self.replica_sync = ReplicaSync::Listing {
             start_after: None,
             first_page_revision: None,
-            retry_at: self.now.monotonic_ms + k::STORE_RETRY_BACKOFF_MS,
+            retry_at: self.now.monotonic_ms + STORE_RETRY_BACKOFF_MS,
             request_in_flight: false,
         };
     }
@@ -89,7 +90,7 @@
                 log::warn!("term {} is over", l.term);
                 if l.resigned {
                     self.leases_to_revoke.push(l.lease);
-                    self.next_campaign_at = now + k::CANDIDACY_PAUSE_MS;
+                    self.next_campaign_at = now + CANDIDACY_PAUSE_MS;
                     self.resigned_at = Some(now);
                 }
                 self.set_role(Role::Follower);
@@ -131,7 +132,7 @@
                 self.set_role(Role::Follower);
             }
             (Role::Follower, None) => {
-                let wait = self.rng.random_range(0..k::ELECTION_JITTER_MS);
+                let wait = self.rng.random_range(0..ELECTION_JITTER_MS);
                 self.set_role(Role::ElectionBackoff { until: now + wait });
             }
             (Role::ElectionBackoff { until }, None) => {
@@ -146,7 +147,7 @@
                         "POST",
                         "/grants".into(),
                         body,
-                        k::STORE_TIMEOUT_MS,
+                        STORE_TIMEOUT_MS,
                     );
                     self.calls_in_flight.insert(call, NodeCall::GrantLease);
                     self.lease_requested_at = now;
@@ -157,13 +158,9 @@
         if let Some(lease) = self.leases_to_revoke.pop() {
             if self.read_budget.try_take(now, 1.0) {
                 let path = format!("/grants/{lease}");
-                let call = self.outbox.start_call(
-                    Target::Store,
-                    "DELETE",
-                    path,
-                    vec![],
-                    k::STORE_TIMEOUT_MS,
-                );
+                let call =
+                    self.outbox
+                        .start_call(Target::Store, "DELETE", path, vec![], STORE_TIMEOUT_MS);
                 self.calls_in_flight.insert(call, NodeCall::RevokeLease);
             } else {
                 self.leases_to_revoke.push(lease);
@@ -200,7 +197,7 @@
             return;
         };
         *asked = false;
-        *retry_at = now + k::STORE_RETRY_BACKOFF_MS;
+        *retry_at = now + STORE_RETRY_BACKOFF_MS;
         let body = match result {
             Ok((200, body)) => body,
             other => {
@@ -304,9 +301,9 @@
             }
             Ok((409 | 400 | 429 | 503, _)) | Err(CallError::NotSent) => {
                 self.leases_to_revoke.push(lease);
-                let wait = self.rng.random_range(0..k::ELECTION_JITTER_MS);
+                let wait = self.rng.random_range(0..ELECTION_JITTER_MS);
                 self.set_role(Role::ElectionBackoff {
-                    until: now + k::STORE_RETRY_BACKOFF_MS + wait,
+                    until: now + STORE_RETRY_BACKOFF_MS + wait,
                 });
             }
             // It may have been carried out, or may be later: reading settles it. After the
--- a/crates/control/src/node/feasibility.rs
+++ b/crates/control/src/node/feasibility.rs
@@ -1,11 +1,15 @@
 //! Decides whether a job can ever run: its machine type and its team's limit.
 use crate::settings::Settings;
-use stonegw_constants as k;
+use stonegw_constants::RESOURCE_EPSILON;
 use stonegw_wire::msg::{Catalog, JobKind, JobSpec};
 
 /// 422 exactly where the protocol has it.
-pub fn check_feasibility(spec: &JobSpec, set: &Settings, catalog: &Catalog) -> Result<(), String> {
-    let Some(team) = set.team(&spec.team) else {
+pub fn check_feasibility(
+    spec: &JobSpec,
+    settings: &Settings,
+    catalog: &Catalog,
+) -> Result<(), String> {
+    let Some(team) = settings.team(&spec.team) else {
         return Err(format!("unknown team {}", spec.team));
     };
     let fits = catalog.machine_types.iter().any(|t| {
@@ -13,9 +17,9 @@
             .as_ref()
             .is_none_or(|l| l.contains(&t.name))
             && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && t.cpus + k::RESOURCE_EPSILON >= spec.cpus
-            && t.gpus + k::RESOURCE_EPSILON >= spec.gpus
-            && t.memory_gb + k::RESOURCE_EPSILON >= spec.memory_gb
+            && t.cpus + RESOURCE_EPSILON >= spec.cpus
+            && t.gpus + RESOURCE_EPSILON >= spec.gpus
+            && t.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
     });
     if !fits {
         return Err("a task fits no allowed machine type".into());
@@ -25,8 +29,8 @@
         // All its tasks run at the same time.
         JobKind::Service | JobKind::Gang => f64::from(spec.task_count),
     };
-    if spec.cpus * n > team.limit_cpus + k::RESOURCE_EPSILON
-        || spec.gpus * n > team.limit_gpus + k::RESOURCE_EPSILON
+    if spec.cpus * n > team.limit_cpus + RESOURCE_EPSILON
+        || spec.gpus * n > team.limit_gpus + RESOURCE_EPSILON
     {
         return Err("needs more than the team's limit".into());
     }
--- a/crates/control/src/node/feature_gate.rs
+++ b/crates/control/src/node/feature_gate.rs
@@ -11,6 +11,10 @@
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 use std::collections::BTreeSet;
+use stonegw_constants::{
+    FEATURE_GATE_READ_FRACTION, FEATURE_GATE_READ_INTERVAL_MS, LIST_PAGE_ENTRIES, PROGRAM_VERSION,
+    STORE_TIMEOUT_MS,
+};
 
 /// What stands under `v/`: the fields of a record. Not `ReleaseRecord` itself, for which a list,
 /// whose elements could be taken for its fields in turn, would pass.
@@ -36,7 +40,7 @@
             return false;
         };
         let field = fields.get(VERSION_FIELD);
-        matches!(field, Some(StoredField::Number(release)) if *release >= k::PROGRAM_VERSION)
+        matches!(field, Some(StoredField::Number(release)) if *release >= PROGRAM_VERSION)
     }
 }
 
@@ -97,7 +101,7 @@
         if to == FeatureGateState::Open {
             log::info!(
                 "every controller runs release {} or higher",
-                k::PROGRAM_VERSION
+                PROGRAM_VERSION
             );
         }
         self.state = to;
@@ -203,16 +207,13 @@
         if !self.read_budget.try_take(self.now.monotonic_ms, 1.0) {
             return;
         }
-        let mut path = format!(
-            "/kv?prefix={VERSIONS_PREFIX}&limit={}",
-            k::LIST_PAGE_ENTRIES
-        );
+        let mut path = format!("/kv?prefix={VERSIONS_PREFIX}&limit={}", LIST_PAGE_ENTRIES);
         if let Some(key) = after {
             path.push_str(&format!("&since={key}"));
         }
         let call = self
             .outbox
-            .start_call(Target::Store, "GET", path, vec![], k::STORE_TIMEOUT_MS);
+            .start_call(Target::Store, "GET", path, vec![], STORE_TIMEOUT_MS);
         self.calls_in_flight
             .insert(call, NodeCall::ReadVersionRecords);
         self.feature_gate.mark_read_in_flight();
@@ -228,7 +229,7 @@
         self.write_budget.take_unconditionally(now, 1.0);
         let key = self.feature_gate.own_key.clone();
         let record = VersionRecord {
-            version: k::PROGRAM_VERSION,
+            version: PROGRAM_VERSION,
         };
         let txn = Txn {
             conditions: vec![Condition {
@@ -273,10 +274,10 @@
 
     /// Rounds keep to a small part of the node's budget of requests.
     fn next_version_scan_at(&self) -> Millis {
-        let per_second = self.read_budget.tokens_per_s() * k::FEATURE_GATE_READ_FRACTION;
+        let per_second = self.read_budget.tokens_per_s() * FEATURE_GATE_READ_FRACTION;
         let least_ms = (1e3 / per_second) as Millis;
         self.now
             .monotonic_ms
-            .saturating_add(least_ms.max(k::FEATURE_GATE_READ_INTERVAL_MS))
+            .saturating_add(least_ms.max(FEATURE_GATE_READ_INTERVAL_MS))
     }
 }
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -13,7 +13,7 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
-use stonegw_constants as k;
+use stonegw_constants::{CLOUD_TIMEOUT_MS, PEER_PING_INTERVAL_MS, RESIGNATION_INTERVAL_MS};
 use stonegw_wire::frame::{self, Cancellation, Frame, Hello, TaskCounts};
 use stonegw_wire::http::Request;
 use stonegw_wire::msg::{
@@ -121,12 +121,12 @@
 
 impl Node {
     /// A node that has heard nothing yet.
-    pub fn new(set: Settings, seed: u64) -> Node {
+    pub fn new(settings: Settings, seed: u64) -> Node {
         let mut rng = SmallRng::seed_from_u64(seed);
         let nonce = rng.random::<u64>() >> 12;
-        let peers: Vec<Peer> = set.peers.iter().map(|_| Peer::default()).collect();
+        let peers: Vec<Peer> = settings.peers.iter().map(|_| Peer::default()).collect();
         let coverage = cancellation_watermark::CancellationWatermark::new(peers.len());
-        let gate = feature_gate::FeatureGate::new(&set.node_name, &set.peers);
+        let gate = feature_gate::FeatureGate::new(&settings.node_name, &settings.peers);
         let mut node = Node {
             incarnation: nonce,
             rng,
@@ -156,7 +156,7 @@
             is_fetching_catalog: false,
             read_budget: TokenBucket::new(1.0, 1.0),
             write_budget: TokenBucket::new(1.0, 1.0),
-            store_limits: StoreLimits::new(&set),
+            store_limits: StoreLimits::new(&settings),
             awaiting_barrier: vec![],
             awaiting_commit: vec![],
             next_barrier_at: 0,
@@ -188,7 +188,7 @@
             next_campaign_at: 0,
             resigned_at: None,
             higher_term: 0,
-            settings: set,
+            settings,
         };
         node.share_budgets();
         node
@@ -253,12 +253,12 @@
                 "GET",
                 "/catalog".into(),
                 vec![],
-                k::CLOUD_TIMEOUT_MS,
+                CLOUD_TIMEOUT_MS,
             );
             self.calls_in_flight.insert(call, NodeCall::FetchCatalog);
         }
         if now >= self.next_hello_at {
-            self.next_hello_at = now + k::PEER_PING_INTERVAL_MS;
+            self.next_hello_at = now + PEER_PING_INTERVAL_MS;
             let old = (self.settings.worker_lease_s * 2e3) as u64;
             self.last_heartbeat_at.retain(|_, at| now < *at + old);
             for i in 0..self.peers.len() {
@@ -279,7 +279,7 @@
                 self.handle_relay_timeout(id, report);
             }
         }
-        self.with_leader(|leader, ctx| leader.advance(ctx));
+        self.with_leader(|leader, context| leader.advance(context));
         if self.leader.is_none() {
             // Only a leader has use for them.
             self.replica.changed_jobs.clear();
@@ -297,8 +297,8 @@
             && !self.is_any_peer_reachable()
             && self
                 .resigned_at
-                .is_none_or(|at| self.now.monotonic_ms > at + k::RESIGNATION_INTERVAL_MS);
-        let mut ctx = crate::leader::LeaderContext {
+                .is_none_or(|at| self.now.monotonic_ms > at + RESIGNATION_INTERVAL_MS);
+        let mut context = crate::leader::LeaderContext {
             may_resign,
             watermark_current: self.watermark_current(),
             leadership_confirmed: self.has_synced_since_pause(),
@@ -311,7 +311,7 @@
             outbox: &mut self.outbox,
             calls: &mut calls,
         };
-        f(&mut leader, &mut ctx);
+        f(&mut leader, &mut context);
         for (id, call) in calls {
             self.calls_in_flight.insert(id, NodeCall::Leader(call));
         }
--- a/crates/control/src/node/peer.rs
+++ b/crates/control/src/node/peer.rs
@@ -1,6 +1,6 @@
 //! What a node knows of each other controller.
 use crate::api::Millis;
-use stonegw_constants as k;
+use stonegw_constants::PEER_TIMEOUT_MS;
 
 /// Another controller, as its link shows it.
 #[derive(Default)]
@@ -15,6 +15,6 @@
 impl Peer {
     /// Its link is up and it was heard lately.
     pub(super) fn is_reachable(&self, now: Millis) -> bool {
-        self.is_connected && now < self.last_heard_at + k::PEER_TIMEOUT_MS
+        self.is_connected && now < self.last_heard_at + PEER_TIMEOUT_MS
     }
 }
--- a/crates/control/src/node/relay.rs
+++ b/crates/control/src/node/relay.rs
@@ -1,5 +1,11 @@
 //! Workers' reports at a node, and the links between nodes.
 use super::*;
+use stonegw_constants::{
+    HEARTBEAT_RELAY_TIMEOUT_MS, ISOLATION_TIMEOUT_MS, LEADER_PROBE_BATCH_DIVISOR,
+    LEADER_PROBE_BATCH_INTERVAL_MS, LEADER_PROBE_DELAY_MS, LEADER_PROBE_MARGIN_MS,
+    MIN_LEADER_PROBES, RETRY_AFTER_STORE_FAILURE_S, WATERMARK_LAG_FRACTION,
+    WORKER_ATTEMPT_TIMEOUT_MS,
+};
 
 impl Node {
     pub(super) fn handle_heartbeat(&mut self, id: u64, body: Vec<u8>) {
@@ -25,7 +31,7 @@
                 None => self.outbox.reply_error(
                     id,
                     503,
-                    Some(k::RETRY_AFTER_STORE_FAILURE_S),
+                    Some(RETRY_AFTER_STORE_FAILURE_S),
                     "no lease to give",
                 ),
             };
@@ -35,7 +41,7 @@
             return self.outbox.reply_error(
                 id,
                 503,
-                Some(k::RETRY_AFTER_STORE_FAILURE_S),
+                Some(RETRY_AFTER_STORE_FAILURE_S),
                 "no leader",
             );
         };
@@ -45,7 +51,7 @@
             Some(i) if self.peers[i].is_reachable(self.now.monotonic_ms) => {
                 self.last_relay_id += 1;
                 let request = self.last_relay_id;
-                let until = self.now.monotonic_ms + k::HEARTBEAT_RELAY_TIMEOUT_MS;
+                let until = self.now.monotonic_ms + HEARTBEAT_RELAY_TIMEOUT_MS;
                 self.pending_relays.insert(request, (id, until, report));
                 self.outbox.actions.push(Action::SendFrame {
                     to: Link::Outbound(i),
@@ -85,7 +91,7 @@
         let spare_s =
             (self.settings.cancellation_deadline_s - self.settings.worker_lease_s).max(0.0);
         self.has_synced_since_pause()
-            && self.watermark_lag_ms() <= (spare_s * k::WATERMARK_LAG_FRACTION * 1e3) as Millis
+            && self.watermark_lag_ms() <= (spare_s * WATERMARK_LAG_FRACTION * 1e3) as Millis
     }
 
     /// Hands cancellations that are new to us to all other nodes that can be reached.
@@ -116,7 +122,7 @@
     pub(super) fn reply_partitioned(&mut self, id: u64) {
         let why = "cut off from the leader";
         self.outbox
-            .reply_error(id, 503, Some(k::RETRY_AFTER_STORE_FAILURE_S), why);
+            .reply_error(id, 503, Some(RETRY_AFTER_STORE_FAILURE_S), why);
     }
 
     /// A report while we hear neither the state service nor any other node. Its worker is let go,
@@ -125,11 +131,11 @@
     /// leases are kept for as long as cancels told elsewhere allow.
     fn handle_heartbeat_isolated(&mut self, id: u64, report: Heartbeat) {
         let now = self.now.monotonic_ms;
-        let tries = self.settings.peers.len() as u64 * k::WORKER_ATTEMPT_TIMEOUT_MS;
+        let tries = self.settings.peers.len() as u64 * WORKER_ATTEMPT_TIMEOUT_MS;
         let back = self.released.get(&report.machine_id);
         let new = back.is_none() && !self.last_heartbeat_at.contains_key(&report.machine_id);
         self.confined |=
-            new || back.is_some_and(|at| now + k::WORKER_ATTEMPT_TIMEOUT_MS / 2 > at + tries);
+            new || back.is_some_and(|at| now + WORKER_ATTEMPT_TIMEOUT_MS / 2 > at + tries);
         let term = match &self.leader {
             Some(l) => l.term,
             None => self.replica.term().unwrap_or(0),
@@ -160,15 +166,14 @@
     pub(super) fn try_start_leader_probe(&mut self, machine: &str) -> bool {
         let now = self.now.monotonic_ms;
         self.served_without_leader_since
-            .retain(|_, at| now < *at + 2 * k::LEADER_PROBE_DELAY_MS);
+            .retain(|_, at| now < *at + 2 * LEADER_PROBE_DELAY_MS);
         if self.probing.remove(machine).is_some() {
             self.probe_failed = true;
-            self.next_probe_at = now + k::LEADER_PROBE_DELAY_MS;
+            self.next_probe_at = now + LEADER_PROBE_DELAY_MS;
         }
         let tries = self.settings.peers.len() as u64;
-        let arrived = |at: &Millis| {
-            now >= at + tries * k::WORKER_ATTEMPT_TIMEOUT_MS + k::LEADER_PROBE_MARGIN_MS
-        };
+        let arrived =
+            |at: &Millis| now >= at + tries * WORKER_ATTEMPT_TIMEOUT_MS + LEADER_PROBE_MARGIN_MS;
         if self.probing.values().any(arrived) {
             self.probe_failed = false;
             self.probing.retain(|_, at| !arrived(at));
@@ -176,16 +181,16 @@
         let part = if self.probe_failed {
             0
         } else {
-            self.served_without_leader_since.len() / k::LEADER_PROBE_BATCH_DIVISOR
+            self.served_without_leader_since.len() / LEADER_PROBE_BATCH_DIVISOR
         };
         let since = self
             .served_without_leader_since
             .entry(machine.to_owned())
             .or_insert(now);
-        let stayed = now >= *since + k::LEADER_PROBE_DELAY_MS;
-        let wave = |at: &&Millis| now < **at + k::LEADER_PROBE_BATCH_INTERVAL_MS;
+        let stayed = now >= *since + LEADER_PROBE_DELAY_MS;
+        let wave = |at: &&Millis| now < **at + LEADER_PROBE_BATCH_INTERVAL_MS;
         let wave = self.probing.values().filter(wave).count();
-        if !stayed || now < self.next_probe_at || wave >= part.max(k::MIN_LEADER_PROBES) {
+        if !stayed || now < self.next_probe_at || wave >= part.max(MIN_LEADER_PROBES) {
             return false;
         }
         *since = now;
@@ -199,7 +204,7 @@
     pub(super) fn is_isolated(&self) -> bool {
         !self.peers.is_empty()
             && !self.is_any_peer_reachable()
-            && self.now.monotonic_ms > self.last_store_success_at + k::ISOLATION_TIMEOUT_MS
+            && self.now.monotonic_ms > self.last_store_success_at + ISOLATION_TIMEOUT_MS
     }
 
     pub(super) fn is_any_peer_reachable(&self) -> bool {
@@ -216,7 +221,7 @@
             return None;
         }
         let mut orders = None;
-        self.with_leader(|leader, ctx| orders = leader.handle_heartbeat(ctx, report));
+        self.with_leader(|leader, context| orders = leader.handle_heartbeat(context, report));
         orders
     }
 
@@ -333,7 +338,7 @@
                     self.outbox.actions.push(Action::Reply {
                         request_id: id,
                         status,
-                        retry_after_s: (status == 503).then_some(k::RETRY_AFTER_STORE_FAILURE_S),
+                        retry_after_s: (status == 503).then_some(RETRY_AFTER_STORE_FAILURE_S),
                         body,
                     });
                 }
--- a/crates/control/src/node/relay_tests.rs
+++ b/crates/control/src/node/relay_tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use stonegw_constants::{
+    HEARTBEAT_RELAY_TIMEOUT_MS, PROCESS_PAUSE_THRESHOLD_MS, RELAYED_HEARTBEATS_INTERVAL_MS,
+};
 
 pub(in crate::node) fn settings(write_rps: f64, txn_ops: usize) -> Settings {
     Settings {
@@ -144,9 +147,9 @@
 /// confirmed. Only what was asked for since then does.
 #[test]
 fn a_pause_blocks_lease_renewal_until_a_read() {
-    let mut set = settings(60.0, 8);
-    set.peers = vec!["node-1".into()];
-    let mut node = Node::new(set, 1);
+    let mut settings = settings(60.0, 8);
+    settings.peers = vec!["node-1".into()];
+    let mut node = Node::new(settings, 1);
     let turn = |node: &mut Node, ms| {
         node.handle(
             Now {
@@ -159,22 +162,22 @@
     turn(&mut node, 1_000);
     node.cancellation_watermark.record_read(1_000);
     assert!(node.watermark_current());
-    turn(&mut node, 1_000 + k::PROCESS_PAUSE_THRESHOLD_MS);
+    turn(&mut node, 1_000 + PROCESS_PAUSE_THRESHOLD_MS);
     assert!(!node.watermark_current(), "nothing was asked for since");
     // The answer to what was asked before the pause.
     node.cancellation_watermark.record_read(1_000);
     assert!(!node.watermark_current());
     node.cancellation_watermark
-        .record_read(1_000 + k::PROCESS_PAUSE_THRESHOLD_MS);
+        .record_read(1_000 + PROCESS_PAUSE_THRESHOLD_MS);
     assert!(node.watermark_current());
 }
 
 /// Reports that waited for the leader through a pause are refused, and not passed on as if they were new.
 #[test]
 fn stale_relays_are_rejected_after_a_pause() {
-    let mut set = settings(60.0, 8);
-    set.peers = vec!["node-1".into()];
-    let mut node = Node::new(set, 1);
+    let mut settings = settings(60.0, 8);
+    settings.peers = vec!["node-1".into()];
+    let mut node = Node::new(settings, 1);
     node.handle(
         Now {
             monotonic_ms: 1_000,
@@ -182,7 +185,7 @@
         },
         [Event::Tick],
     );
-    let until = 1_000 + k::HEARTBEAT_RELAY_TIMEOUT_MS;
+    let until = 1_000 + HEARTBEAT_RELAY_TIMEOUT_MS;
     node.pending_relays
         .insert(1, (7, until, heartbeat("host-1")));
     let ms = until + 5_000;
@@ -212,9 +215,9 @@
 #[test]
 fn heartbeats_of_many_machines_fill_a_transaction() {
     let (machines, writes) = (2_000, 32);
-    let mut set = settings(1_000.0, writes);
-    set.max_value_bytes = 1024;
-    let mut node = Node::new(set, 1);
+    let mut settings = settings(1_000.0, writes);
+    settings.max_value_bytes = 1024;
+    let mut node = Node::new(settings, 1);
     node.replica_sync = ReplicaSync::Live;
     for n in 0..machines {
         let id = format!("host-{n}");
@@ -229,6 +232,6 @@
     };
     let first: HashSet<String> = txn.writes.iter().map(key).collect();
     let (txn, _) =
-        take_sent_transaction(&mut node, 5_000 + k::RELAYED_HEARTBEATS_INTERVAL_MS).expect("due");
+        take_sent_transaction(&mut node, 5_000 + RELAYED_HEARTBEATS_INTERVAL_MS).expect("due");
     assert!(txn.writes.iter().all(|write| !first.contains(&key(write))));
 }
--- a/crates/control/src/node/resume.rs
+++ b/crates/control/src/node/resume.rs
@@ -1,6 +1,7 @@
 //! What a node does when it runs again after a pause; see [`crate::pause`].
 use super::*;
 use crate::pause::Pause;
+use stonegw_constants::ELECTION_JITTER_MS;
 
 impl Node {
     /// Nothing that the node knew before the pause entitles it to anything, and nobody else is judged by
@@ -28,7 +29,7 @@
 
     /// No election is due for the time that went by.
     fn resume_election(&mut self, pause: Pause) {
-        let wait = self.rng.random_range(0..k::ELECTION_JITTER_MS);
+        let wait = self.rng.random_range(0..ELECTION_JITTER_MS);
         match &mut self.role {
             Role::ElectionBackoff { until } => *until = pause.now + wait,
             Role::CampaignUnconfirmed { until, .. } => pause.shift(until),
--- a/crates/control/src/node/routes.rs
+++ b/crates/control/src/node/routes.rs
@@ -1,5 +1,6 @@
 //! Routes HTTP requests to what answers them, and reports the node's health.
 use super::*;
+use stonegw_constants::{RETRY_AFTER_STORE_FAILURE_S, STORE_UNREACHABLE_MS};
 
 #[derive(Serialize)]
 struct Health {
@@ -29,7 +30,7 @@
                 .now
                 .monotonic_ms
                 .saturating_sub(self.last_store_success_at)
-                > k::STORE_UNREACHABLE_MS
+                > STORE_UNREACHABLE_MS
     }
 
     /// Takes one HTTP request.
@@ -69,7 +70,7 @@
             None if self.is_ready() => self.outbox.reply(id, 200, None, &Health { ready: true }),
             None => {
                 self.outbox
-                    .reply_error(id, 503, Some(k::RETRY_AFTER_STORE_FAILURE_S), "not ready")
+                    .reply_error(id, 503, Some(RETRY_AFTER_STORE_FAILURE_S), "not ready")
             }
             Some(Err((status, why))) => self.outbox.reply_error(id, status, None, &why),
             Some(Ok(ask)) => self.handle_user_request(id, ask),
--- a/crates/control/src/node/user_requests.rs
+++ b/crates/control/src/node/user_requests.rs
@@ -1,5 +1,11 @@
 //! Users' requests for jobs: polls, submissions and cancels.
 use super::*;
+use stonegw_constants::{
+    JOB_WRITE_OVERHEAD_BYTES, MAX_TXN_BYTES, POLL_TIMEOUT_MS, READ_BARRIER_INTERVAL_MS,
+    REPLICA_CONFIRM_INTERVAL_MS, RETRY_AFTER_FEATURE_GATE_S, RETRY_AFTER_OVERLOAD_S,
+    RETRY_AFTER_STORE_FAILURE_S, STORE_PROBE_INTERVAL_MS, STORE_RETRY_BACKOFF_MS, STORE_TIMEOUT_MS,
+    SUBMISSION_TIMEOUT_MS, TXN_MARGIN_BYTES,
+};
 
 /// Why a submission is not taken.
 enum AdmissionError {
@@ -20,8 +26,8 @@
             return self.outbox.reply(id, 200, None, &status);
         }
         let patience = match ask {
-            UserRequest::Poll(_) => k::POLL_TIMEOUT_MS,
-            _ => k::SUBMISSION_TIMEOUT_MS,
+            UserRequest::Poll(_) => POLL_TIMEOUT_MS,
+            _ => SUBMISSION_TIMEOUT_MS,
         };
         self.queue_for_barrier(PendingRequest {
             id,
@@ -42,7 +48,7 @@
         self.outbox.reply_error(
             id,
             503,
-            Some(k::RETRY_AFTER_STORE_FAILURE_S),
+            Some(RETRY_AFTER_STORE_FAILURE_S),
             "the state service does not answer",
         );
     }
@@ -69,7 +75,7 @@
         let p = |ask| PendingRequest {
             id,
             request: ask,
-            expires_at: self.now.monotonic_ms + k::SUBMISSION_TIMEOUT_MS,
+            expires_at: self.now.monotonic_ms + SUBMISSION_TIMEOUT_MS,
             commit_attempts: 0,
         };
         // Known jobs are answered before any other check.
@@ -81,7 +87,7 @@
             return self.outbox.reply_error(
                 id,
                 503,
-                Some(k::RETRY_AFTER_OVERLOAD_S),
+                Some(RETRY_AFTER_OVERLOAD_S),
                 "machine types not known yet",
             );
         };
@@ -115,7 +121,7 @@
             let why = "gangs are taken once every controller runs a release that knows them";
             return self
                 .outbox
-                .reply_error(p.id, 503, Some(k::RETRY_AFTER_FEATURE_GATE_S), why);
+                .reply_error(p.id, 503, Some(RETRY_AFTER_FEATURE_GATE_S), why);
         }
         self.awaiting_commit.push(p);
     }
@@ -132,7 +138,7 @@
 
     /// Bytes of JSON that a job's record may take: a value, within a transaction of its own.
     fn max_record_bytes(&self) -> usize {
-        let alone = k::MAX_TXN_BYTES - k::TXN_MARGIN_BYTES - k::JOB_WRITE_OVERHEAD_BYTES;
+        let alone = MAX_TXN_BYTES - TXN_MARGIN_BYTES - JOB_WRITE_OVERHEAD_BYTES;
         self.store_limits.max_value_bytes().min(alone)
     }
 
@@ -152,7 +158,7 @@
                 self.outbox.reply_error(
                     id,
                     503,
-                    Some(k::RETRY_AFTER_STORE_FAILURE_S),
+                    Some(RETRY_AFTER_STORE_FAILURE_S),
                     "the state service does not answer",
                 );
             }
@@ -166,7 +172,7 @@
         // Without requests nothing else would notice that the state service is back: the watch
         // may hang, and requests are refused meanwhile.
         let probe = self.store_failing_since.is_some()
-            && now >= self.next_barrier_at + k::STORE_PROBE_INTERVAL_MS
+            && now >= self.next_barrier_at + STORE_PROBE_INTERVAL_MS
             || self.is_confirming_read_due()
             || !self.has_synced_since_pause();
         if (!self.awaiting_barrier.is_empty() || probe)
@@ -176,19 +182,19 @@
             && self.read_budget.try_take(now, 1.0)
         {
             self.barriers_in_flight += 1;
-            self.next_barrier_at = now + k::READ_BARRIER_INTERVAL_MS;
+            self.next_barrier_at = now + READ_BARRIER_INTERVAL_MS;
             let polls = std::mem::take(&mut self.awaiting_barrier);
             let patience = polls
                 .iter()
                 .map(|p| p.expires_at - now)
                 .min()
-                .unwrap_or(k::STORE_TIMEOUT_MS)
+                .unwrap_or(STORE_TIMEOUT_MS)
                 .max(100);
             let path = format!(
                 "/changes?prefix={REPLICATED_PREFIX}&since={}&holdMs=0",
                 self.replica.revision
             );
-            let wait = patience.min(k::STORE_TIMEOUT_MS);
+            let wait = patience.min(STORE_TIMEOUT_MS);
             let call = self
                 .outbox
                 .start_call(Target::Store, "GET", path, vec![], wait);
@@ -206,8 +212,8 @@
     /// hangs, and nothing else helps where the other nodes' answers don't carry the coverage on.
     fn is_confirming_read_due(&self) -> bool {
         let needed =
-            self.role == Role::Leader || self.watermark_lag_ms() > k::REPLICA_CONFIRM_INTERVAL_MS;
-        needed && self.now.monotonic_ms >= self.next_barrier_at + k::REPLICA_CONFIRM_INTERVAL_MS
+            self.role == Role::Leader || self.watermark_lag_ms() > REPLICA_CONFIRM_INTERVAL_MS;
+        needed && self.now.monotonic_ms >= self.next_barrier_at + REPLICA_CONFIRM_INTERVAL_MS
     }
 
     /// Puts as many submissions and cancels into one transaction as fit.
@@ -223,7 +229,7 @@
             writes: vec![],
         };
         let (mut batch, mut rest, mut keys) = (vec![], vec![], HashSet::new());
-        let mut bytes = k::TXN_MARGIN_BYTES;
+        let mut bytes = TXN_MARGIN_BYTES;
         let mut sent = TransactionSize::default();
         let record_bytes = self.max_record_bytes();
         for p in std::mem::take(&mut self.awaiting_commit) {
@@ -251,8 +257,8 @@
                 self.awaiting_barrier.push(p);
                 continue;
             }
-            let size = value_bytes + k::JOB_WRITE_OVERHEAD_BYTES;
-            if batch.len() >= most || bytes + size > k::MAX_TXN_BYTES || keys.contains(&job) {
+            let size = value_bytes + JOB_WRITE_OVERHEAD_BYTES;
+            if batch.len() >= most || bytes + size > MAX_TXN_BYTES || keys.contains(&job) {
                 rest.push(p);
                 continue;
             }
@@ -310,7 +316,7 @@
                         UserRequest::Submit(spec) => {
                             let record = JobRecord::submitted(spec, self.now.wall_ms);
                             let id = spec.id.clone();
-                            let asked = p.expires_at.saturating_sub(k::SUBMISSION_TIMEOUT_MS);
+                            let asked = p.expires_at.saturating_sub(SUBMISSION_TIMEOUT_MS);
                             log::debug!("{id} accepted after {} ms", now.saturating_sub(asked));
                             self.replica.put_job(&id, record, answer.revision);
                             let body = job_status_without_counts(&id, JobPhase::Queued);
@@ -352,14 +358,14 @@
             }
             Ok((429, _)) => {
                 self.store_limits.record_rate_rejected();
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
                 self.awaiting_commit.extend(batch);
             }
             // Most likely the limits were lowered: the same again, in smaller parts and behind the
             // others, until its users' patience ends.
             Ok((400, _)) => {
                 self.store_limits.record_size_rejected(size);
-                self.next_commit_at = now + k::STORE_RETRY_BACKOFF_MS;
+                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
                 self.awaiting_commit.extend(batch);
             }
             other => {
--- a/crates/control/src/node/user_requests_tests.rs
+++ b/crates/control/src/node/user_requests_tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::node::relay::tests::settings;
+use stonegw_constants::READ_BARRIER_INTERVAL_MS;
 
 const POLL_COUNT: u64 = 2_000;
 
@@ -77,6 +78,6 @@
         POLL_COUNT,
         "none newer than the read"
     );
-    let later = node.handle(now(1_000 + k::READ_BARRIER_INTERVAL_MS), [Event::Tick]);
+    let later = node.handle(now(1_000 + READ_BARRIER_INTERVAL_MS), [Event::Tick]);
     assert_eq!(read_barrier_calls(&later).len(), 1);
 }
--- a/crates/control/src/node/via_store.rs
+++ b/crates/control/src/node/via_store.rs
@@ -1,5 +1,10 @@
 //! Hands reports to the leader through the state service, where no node reaches it directly.
 use super::*;
+use stonegw_constants::{
+    MAX_TXN_BYTES, MIN_RELAYED_HEARTBEAT_SLOTS, RELAYED_HEARTBEATS_INTERVAL_MS,
+    RELAYED_HEARTBEATS_OVERHEAD_BYTES, RELAYED_HEARTBEAT_REPEAT_MS,
+    RELAYED_HEARTBEAT_SLOTS_PER_WRITE, TXN_MARGIN_BYTES,
+};
 
 impl Node {
     /// A report that can't be relayed, from a worker that may be cut off with us. Its lease is
@@ -44,14 +49,14 @@
         {
             return;
         }
-        self.next_via_store_at = now + k::RELAYED_HEARTBEATS_INTERVAL_MS;
+        self.next_via_store_at = now + RELAYED_HEARTBEATS_INTERVAL_MS;
         let redirected = &self.served_without_leader_since;
         self.heartbeats_via_store
             .retain(|m, _| redirected.contains_key(m));
         let mut due: Vec<(Millis, String)> = self
             .heartbeats_via_store
             .iter()
-            .filter(|(_, (_, changed, at))| *changed || now >= at + k::RELAYED_HEARTBEAT_REPEAT_MS)
+            .filter(|(_, (_, changed, at))| *changed || now >= at + RELAYED_HEARTBEAT_REPEAT_MS)
             .map(|(m, (_, _, at))| (*at, m.clone()))
             .collect();
         due.sort();
@@ -59,7 +64,7 @@
             .min(self.store_limits.max_transaction_writes());
         // Small records are many: none may be written over in the transaction that wrote it.
         let slots = self.via_store_slots();
-        let most = most.min(slots / k::RELAYED_HEARTBEAT_SLOTS_PER_WRITE);
+        let most = most.min(slots / RELAYED_HEARTBEAT_SLOTS_PER_WRITE);
         if due.is_empty() || most == 0 || !self.read_budget.try_take(now, 1.0) {
             return;
         }
@@ -69,7 +74,7 @@
         };
         // As many reports as a record holds, as many records as the budget allows. Records are
         // written over in turn; whoever reads them tells the newer report by its number.
-        let (mut batch, mut bytes, mut total) = (vec![], 0, k::TXN_MARGIN_BYTES);
+        let (mut batch, mut bytes, mut total) = (vec![], 0, TXN_MARGIN_BYTES);
         let (mut machines, mut sent) = (vec![], TransactionSize::default());
         for (_, machine) in due {
             let Some((report, changed, at)) = self.heartbeats_via_store.get_mut(&machine) else {
@@ -79,8 +84,8 @@
             let room = self
                 .store_limits
                 .max_value_bytes()
-                .saturating_sub(k::RELAYED_HEARTBEATS_OVERHEAD_BYTES);
-            if size > room || total + size > k::MAX_TXN_BYTES {
+                .saturating_sub(RELAYED_HEARTBEATS_OVERHEAD_BYTES);
+            if size > room || total + size > MAX_TXN_BYTES {
                 continue;
             }
             if bytes + size > room {
@@ -91,7 +96,7 @@
                     &mut batch,
                 );
                 txn.writes.push(full);
-                sent.add_write(bytes + k::RELAYED_HEARTBEATS_OVERHEAD_BYTES);
+                sent.add_write(bytes + RELAYED_HEARTBEATS_OVERHEAD_BYTES);
                 bytes = 0;
                 if txn.writes.len() >= most {
                     break;
@@ -110,7 +115,7 @@
                 &mut batch,
             );
             txn.writes.push(rest);
-            sent.add_write(bytes + k::RELAYED_HEARTBEATS_OVERHEAD_BYTES);
+            sent.add_write(bytes + RELAYED_HEARTBEATS_OVERHEAD_BYTES);
         }
         if txn.writes.is_empty() {
             return;
@@ -148,8 +153,8 @@
 
     /// Records in which this node hands reports on in turn.
     fn via_store_slots(&self) -> usize {
-        k::MIN_RELAYED_HEARTBEAT_SLOTS
-            .max(self.settings.max_transaction_writes * k::RELAYED_HEARTBEAT_SLOTS_PER_WRITE)
+        MIN_RELAYED_HEARTBEAT_SLOTS
+            .max(self.settings.max_transaction_writes * RELAYED_HEARTBEAT_SLOTS_PER_WRITE)
     }
 }
 
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -5,7 +5,7 @@
 //! what was asked after it (`Node::proven`). What it would conclude about others from elapsed time
 //! starts its wait anew: each part shifts its own times, in its `resume`.
 use crate::api::Millis;
-use stonegw_constants as k;
+use stonegw_constants::PROCESS_PAUSE_THRESHOLD_MS;
 
 /// A pause that has just ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     pub fn record_turn(&mut self, now: Millis) -> Option<Pause> {
         let last_turn = self.last_turn_at.replace(now)?;
         let gap = now.saturating_sub(last_turn);
-        (gap >= k::PROCESS_PAUSE_THRESHOLD_MS).then_some(Pause {
+        (gap >= PROCESS_PAUSE_THRESHOLD_MS).then_some(Pause {
             now,
             duration_ms: gap,
         })
--- a/crates/control/src/pause_tests.rs
+++ b/crates/control/src/pause_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use stonegw_constants::PROCESS_PAUSE_THRESHOLD_MS;
 
 #[test]
 fn only_a_long_time_between_turns_is_a_pause() {
@@ -10,11 +11,11 @@
     );
     assert_eq!(detector.record_turn(50_100), None);
     assert_eq!(
-        detector.record_turn(50_100 + k::PROCESS_PAUSE_THRESHOLD_MS - 1),
+        detector.record_turn(50_100 + PROCESS_PAUSE_THRESHOLD_MS - 1),
         None
     );
-    let now = 50_100 + 2 * k::PROCESS_PAUSE_THRESHOLD_MS - 1;
-    let duration_ms = k::PROCESS_PAUSE_THRESHOLD_MS;
+    let now = 50_100 + 2 * PROCESS_PAUSE_THRESHOLD_MS - 1;
+    let duration_ms = PROCESS_PAUSE_THRESHOLD_MS;
     assert_eq!(detector.record_turn(now), Some(Pause { now, duration_ms }));
     assert_eq!(
         detector.record_turn(now + 100),
--- a/crates/control/src/preemption.rs
+++ b/crates/control/src/preemption.rs
@@ -5,7 +5,11 @@
 use crate::leader::{Leader, LeaderContext};
 use crate::resources::Resources;
 use std::collections::HashMap;
-use stonegw_constants as k;
+use stonegw_constants::{
+    GANG_RESTART_COST_MS, IMAGE_FETCH_WEIGHT, PREEMPTION_PLAN_TIMEOUT_MS,
+    QUOTA_RECLAIM_MACHINES_DIVISOR, QUOTA_RECLAIM_MAX_LOSS_MS, QUOTA_RECLAIM_MIN_TASKS,
+    QUOTA_RECLAIM_WAIT_MS, RESOURCE_EPSILON, STOP_GRACE_MARGIN_S,
+};
 use stonegw_wire::msg::{JobKind, JobSpec};
 
 /// Room that lesser work is leaving on a machine for an urgent job. Nothing else may take it:
@@ -63,7 +67,7 @@
     } else {
         ran
     };
-    (lost + k::GANG_RESTART_COST_MS) * u64::from(work.spec.task_count)
+    (lost + GANG_RESTART_COST_MS) * u64::from(work.spec.task_count)
 }
 
 impl Leader {
@@ -107,7 +111,7 @@
     /// Stops work of lower priority where that loses least, so that an urgent task can start.
     pub fn preempt(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         job: &str,
         claimed: &mut PreemptionClaims,
         guarantee: bool,
@@ -120,15 +124,15 @@
             tasks: 1,
             reclaims_quota: guarantee,
         };
-        let used = self.team_cpus_after_stops(ctx, guarantee);
+        let used = self.team_cpus_after_stops(context, guarantee);
         let mut best: Option<PreemptionOffer> = None;
         for m in self.machines.values() {
             let kept = guarantee && self.is_reserved_for_other(&m.id, job)
                 || self.is_gang_reserved_for_other(&m.id, job);
-            if kept || !self.is_eligible(ctx, m, work) {
+            if kept || !self.is_eligible(context, m, work) {
                 continue;
             }
-            for offer in self.preemption_offers(ctx, m, &wanted, claimed, &used) {
+            for offer in self.preemption_offers(context, m, &wanted, claimed, &used) {
                 if best.as_ref().is_none_or(|b| offer.cost_ms < b.cost_ms) {
                     best = Some(offer);
                 }
@@ -145,21 +149,21 @@
                 offer.cost_ms
             );
         }
-        self.carry_out_preemption(ctx, job, vec![offer], claimed, !guarantee);
+        self.carry_out_preemption(context, job, vec![offer], claimed, !guarantee);
         true
     }
 
     /// CPUs that each team keeps, not counting what is being stopped. Only a guarantee asks for it.
     pub fn team_cpus_after_stops(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         guarantee: bool,
     ) -> HashMap<String, f64> {
         let mut kept = HashMap::new();
         if !guarantee {
             return kept;
         }
-        for team in &ctx.settings.teams {
+        for team in &context.settings.teams {
             kept.insert(team.name.clone(), self.machines.team_usage(&team.name).0);
         }
         for m in self.machines.with_pending_commands() {
@@ -175,7 +179,7 @@
     /// Room for up to so many of a job's tasks on one machine, in the order in which it costs more.
     pub fn preemption_offers(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         m: &Machine,
         wanted: &PreemptionRequest,
         claimed: &PreemptionClaims,
@@ -186,10 +190,10 @@
         };
         free -= claimed.get(&m.id).copied().unwrap_or_default();
         let need = Resources::of_task(&wanted.job.spec);
-        let mut victims = self.find_victims(ctx, m, wanted, kept).into_iter();
+        let mut victims = self.find_victims(context, m, wanted, kept).into_iter();
         // An urgent task's wait for its image weighs more than the run time lost.
         let fetch_s = self.image_fetch_s(m, &wanted.job.spec);
-        let mut cost = (fetch_s * k::IMAGE_FETCH_WEIGHT * 1e3) as u64;
+        let mut cost = (fetch_s * IMAGE_FETCH_WEIGHT * 1e3) as u64;
         let mut offers = vec![];
         for order in 0..wanted.tasks {
             let mut stops = vec![];
@@ -225,12 +229,12 @@
     /// Tasks on a machine that may be stopped for this work, those that lose least first.
     fn find_victims(
         &self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         m: &Machine,
         wanted: &PreemptionRequest,
         kept: &HashMap<String, f64>,
     ) -> Vec<Victim> {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let spec = &wanted.job.spec;
         let mut victims = vec![];
         let mut going: HashMap<&str, f64> = HashMap::new();
@@ -246,12 +250,12 @@
                 && work.spec.team != spec.team
                 && work.spec.kind == JobKind::Array
                 && p.running_at
-                    .is_none_or(|at| now < at + k::QUOTA_RECLAIM_MAX_LOSS_MS)
-                && ctx.settings.team(&work.spec.team).is_some_and(|team| {
+                    .is_none_or(|at| now < at + QUOTA_RECLAIM_MAX_LOSS_MS)
+                && context.settings.team(&work.spec.team).is_some_and(|team| {
                     let cpus = kept.get(team.name.as_str()).copied().unwrap_or(0.0);
                     let going = going.entry(&work.spec.team).or_insert(0.0);
                     *going += p.cpus;
-                    cpus - *going >= team.quota_cpus - k::RESOURCE_EPSILON
+                    cpus - *going >= team.quota_cpus - RESOURCE_EPSILON
                 });
             if work.spec.priority < spec.priority || excess {
                 victims.push(Victim {
@@ -269,7 +273,7 @@
     /// Stops what the offers name. `keep`: the room goes to nothing else for a while.
     pub fn carry_out_preemption(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         job: &str,
         offers: Vec<PreemptionOffer>,
         claimed: &mut PreemptionClaims,
@@ -284,26 +288,26 @@
                 self.scheduler.preemption_plans.push(PreemptionPlan {
                     machine: offer.machine.clone(),
                     job: job.to_owned(),
-                    expires_at: ctx.now.monotonic_ms + k::PREEMPTION_PLAN_TIMEOUT_MS,
+                    expires_at: context.now.monotonic_ms + PREEMPTION_PLAN_TIMEOUT_MS,
                 });
             }
             self.requeue_machine_queue(&offer.machine);
             for (victim, attempt) in &offer.victims {
-                self.stop_victim(ctx, &offer.machine, victim, *attempt);
+                self.stop_victim(context, &offer.machine, victim, *attempt);
             }
         }
     }
 
     /// Stops one task, or the whole gang that it belongs to.
-    fn stop_victim(&mut self, ctx: &LeaderContext, machine: &str, job: &str, attempt: u64) {
+    fn stop_victim(&mut self, context: &LeaderContext, machine: &str, job: &str, attempt: u64) {
         let Some(work) = self.jobs.get(job) else {
             return;
         };
         if work.gang.is_some() {
-            return self.stop_gang(ctx, job);
+            return self.stop_gang(context, job);
         }
         let grace_s = if work.spec.checkpoint_interval_s > 0.0 {
-            work.spec.checkpoint_duration_s + k::STOP_GRACE_MARGIN_S
+            work.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
         } else {
             0.0
         };
@@ -317,7 +321,7 @@
 
     /// Work within its team's guarantee that found no room: other teams return what they borrow,
     /// the tasks that have run least.
-    pub fn reclaim_quota(&mut self, ctx: &LeaderContext) {
+    pub fn reclaim_quota(&mut self, context: &LeaderContext) {
         let mut claimed = PreemptionClaims::new();
         let mut extra: HashMap<String, (f64, f64)> = HashMap::new();
         let waiting: Vec<(String, usize)> = self
@@ -325,14 +329,14 @@
             .iter()
             .filter(|(_, w)| {
                 !w.end_write_in_flight
-                    && ctx.now.monotonic_ms >= w.retry_at
+                    && context.now.monotonic_ms >= w.retry_at
                     && w.spec.deadline_s.is_some()
             })
             .filter(|(_, w)| !w.failures.job_is_broken())
             .filter(|(_, w)| {
-                let age = ctx.now.wall_ms.saturating_sub(w.submitted_at_ms);
-                age > k::QUOTA_RECLAIM_WAIT_MS
-                    && w.seconds_to_deadline(ctx.now.wall_ms)
+                let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
+                age > QUOTA_RECLAIM_WAIT_MS
+                    && w.seconds_to_deadline(context.now.wall_ms)
                         .is_some_and(|d| d > 0.0)
             })
             .map(|(id, w)| (id.clone(), w.unpruned_count()))
@@ -344,14 +348,14 @@
             .find(|m| m.lifecycle == Lifecycle::Ready);
         let kind = kind.map_or(String::new(), |m| m.machine_type.clone());
         // A part of the fleet at a time: what is stopped in vain must stay little.
-        let fleet = self.machines.len() / k::QUOTA_RECLAIM_MACHINES_DIVISOR;
-        let mut left = k::QUOTA_RECLAIM_MIN_TASKS.max(fleet);
+        let fleet = self.machines.len() / QUOTA_RECLAIM_MACHINES_DIVISOR;
+        let mut left = QUOTA_RECLAIM_MIN_TASKS.max(fleet);
         for (job, n) in waiting {
             // What the threshold holds back anyway must not push others aside for nothing.
             let Some(w) = self.jobs.get(&job) else {
                 continue;
             };
-            let due = w.seconds_to_deadline(ctx.now.wall_ms).unwrap_or(0.0);
+            let due = w.seconds_to_deadline(context.now.wall_ms).unwrap_or(0.0);
             let runs = self.scheduler.run_time_histogram(&w.spec, &kind);
             if runs.cumulative().on_time_probability_after(0.0, due)
                 < self.scheduler.pruner.deferring_threshold
@@ -362,13 +366,13 @@
             for _ in 0..n {
                 let e = extra.get(&spec.team).copied().unwrap_or_default();
                 if left == 0
-                    || !self.within_quota(ctx, &spec, e)
-                    || !self.within_limit(ctx, &spec, e)
+                    || !self.within_quota(context, &spec, e)
+                    || !self.within_limit(context, &spec, e)
                 {
                     break;
                 }
                 left -= 1;
-                if !self.preempt(ctx, &job, &mut claimed, true) {
+                if !self.preempt(context, &job, &mut claimed, true) {
                     break;
                 }
                 let e = extra.entry(spec.team.clone()).or_default();
--- a/crates/control/src/resources.rs
+++ b/crates/control/src/resources.rs
@@ -1,6 +1,6 @@
 //! Amounts of what a task takes of a machine.
 use std::ops::{Add, AddAssign, Sub, SubAssign};
-use stonegw_constants as k;
+use stonegw_constants::RESOURCE_EPSILON;
 use stonegw_wire::msg::{JobSpec, MachineType};
 
 /// CPUs, accelerator cards and memory, taken or free.
@@ -32,9 +32,9 @@
 
     /// Whether `need` fits into this much room, rounding aside.
     pub fn has_capacity_for(&self, need: &Resources) -> bool {
-        self.cpus + k::RESOURCE_EPSILON >= need.cpus
-            && self.gpus + k::RESOURCE_EPSILON >= need.gpus
-            && self.memory_gb + k::RESOURCE_EPSILON >= need.memory_gb
+        self.cpus + RESOURCE_EPSILON >= need.cpus
+            && self.gpus + RESOURCE_EPSILON >= need.gpus
+            && self.memory_gb + RESOURCE_EPSILON >= need.memory_gb
     }
 
     /// How many times `need` fits into this much room.
@@ -46,8 +46,8 @@
     /// How many times `need` fits, in parts and without an upper limit.
     pub fn fit_ratio(&self, need: &Resources) -> f64 {
         let ratio = |have: f64, need: f64| {
-            if need > k::RESOURCE_EPSILON {
-                (have + k::RESOURCE_EPSILON) / need
+            if need > RESOURCE_EPSILON {
+                (have + RESOURCE_EPSILON) / need
             } else {
                 f64::MAX
             }
