--- a/crates/control/src/scheduler/deadline_placement.rs
+++ b/crates/control/src/scheduler/deadline_placement.rs
@@ -5,7 +5,7 @@
 use crate::leader::{is_immediate, zone_allows, Leader, LeaderContext};
 use std::collections::HashMap;
 use std::ops::ControlFlow;
-use stonegw_constants as k;
+use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE};
 use stonegw_sched::placement_estimate::{earliest_finish, EstimatedStart, PlacementScore};
 use stonegw_sched::time_distribution::TimeDistribution;
 use stonegw_wire::msg::JobSpec;
@@ -87,12 +87,12 @@
 
 impl Leader {
     /// One mapping event.
-    pub(super) fn place_deadline_jobs(&mut self, ctx: &LeaderContext) {
-        self.record_deadline_misses(ctx.now.wall_ms);
+    pub(super) fn place_deadline_jobs(&mut self, context: &LeaderContext) {
+        self.record_deadline_misses(context.now.wall_ms);
         let mut robustness = OnTimeAverage::default();
-        let mut seats = self.machine_queues(ctx, &mut robustness);
+        let mut seats = self.machine_queues(context, &mut robustness);
         let mut images = ImageIds::default();
-        let mut candidates = self.deadline_candidates(ctx, &seats, &mut images);
+        let mut candidates = self.deadline_candidates(context, &seats, &mut images);
         for s in &mut seats {
             if let Some(m) = self.machines.get(&s.id) {
                 s.refresh_images(
@@ -113,7 +113,10 @@
             deferring_threshold: threshold,
             queued_by_team: HashMap::new(),
         };
-        while self.place_next_candidate(ctx, &mut mapping).is_continue() {}
+        while self
+            .place_next_candidate(context, &mut mapping)
+            .is_continue()
+        {}
     }
 
     /// Misses since the last mapping feed the toggle.
@@ -154,7 +157,7 @@
             .iter()
             .map(|s| {
                 let now_free = (s.forecast.free_cpus.max(0.0) / smallest.max(0.1)) as usize;
-                now_free + k::MAX_QUEUED_TASKS_PER_MACHINE.saturating_sub(s.forecast.queued_count)
+                now_free + MAX_QUEUED_TASKS_PER_MACHINE.saturating_sub(s.forecast.queued_count)
             })
             .sum();
         let pruner = &mut self.scheduler.pruner;
@@ -175,10 +178,10 @@
     /// Puts the next task on a machine or in its queue, or looks again for its best machine.
     fn place_next_candidate(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         mapping: &mut DeadlinePass,
     ) -> ControlFlow<()> {
-        let Some(next) = self.next_candidate(ctx, mapping) else {
+        let Some(next) = self.next_candidate(context, mapping) else {
             return ControlFlow::Break(());
         };
         let seats = &mut mapping.machine_queues;
@@ -200,7 +203,7 @@
 
     /// Of the candidates of the highest rank that their teams' limits leave room for, the one
     /// whose next task would finish soonest.
-    fn next_candidate(&self, ctx: &LeaderContext, mapping: &mut DeadlinePass) -> Option<usize> {
+    fn next_candidate(&self, context: &LeaderContext, mapping: &mut DeadlinePass) -> Option<usize> {
         let mut rank: Option<PlacementRank> = None;
         let mut open = vec![false; mapping.candidates.len()];
         for (i, c) in mapping.candidates.iter_mut().enumerate() {
@@ -211,8 +214,8 @@
             }
             let e = mapping.queued_by_team.get(&c.spec.team).copied();
             let e = e.unwrap_or_default();
-            if self.within_limit(ctx, &c.spec, e) && !self.is_team_reserved_for_other(&c.spec) {
-                c.rank.1 = self.within_quota(ctx, &c.spec, e);
+            if self.within_limit(context, &c.spec, e) && !self.is_team_reserved_for_other(&c.spec) {
+                c.rank.1 = self.within_quota(context, &c.spec, e);
                 open[i] = true;
                 rank = rank.max(Some(c.rank));
             }
@@ -300,11 +303,11 @@
     /// What waits and may still be in time, a job standing for its like tasks.
     fn deadline_candidates(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         seats: &[MachineQueue],
         images: &mut ImageIds,
     ) -> Vec<DeadlineCandidate> {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let mut present = vec![false; self.catalog.machine_types.len()];
         for s in seats {
             present[s.machine_type_index] = true;
@@ -318,7 +321,10 @@
             {
                 continue;
             }
-            let Some(due) = w.seconds_to_deadline(ctx.now.wall_ms).filter(|d| *d > 0.0) else {
+            let Some(due) = w
+                .seconds_to_deadline(context.now.wall_ms)
+                .filter(|d| *d > 0.0)
+            else {
                 continue;
             };
             let left = w.unpruned_count().min(w.start_limit(now));
@@ -391,7 +397,7 @@
                 .on_time_probability_after(fetch + earliest, c.due_s);
             let finish = mean + fetch + runs.mean_s;
             let bound = if wait.is_some() {
-                bound + k::CHANCE_TOLERANCE
+                bound + CHANCE_TOLERANCE
             } else {
                 bound
             };
--- a/crates/control/src/scheduler/first_fit.rs
+++ b/crates/control/src/scheduler/first_fit.rs
@@ -2,7 +2,7 @@
 use super::PlacementRank;
 use crate::cluster::{JobState, Machine};
 use crate::leader::{is_immediate, Leader, LeaderContext};
-use stonegw_constants as k;
+use stonegw_constants::URGENT_RESERVATION_WAIT_MS;
 use stonegw_wire::msg::JobSpec;
 
 /// What a task takes and where it may go, as far as that says whether there is room for it:
@@ -95,7 +95,7 @@
     }
 
     /// Starts held tasks for which room has become free.
-    pub fn dispatch_queued(&mut self, ctx: &LeaderContext, id: &str) {
+    pub fn dispatch_queued(&mut self, context: &LeaderContext, id: &str) {
         loop {
             let Some(m) = self.machines.get(id) else {
                 return;
@@ -106,11 +106,11 @@
             let start = match self.jobs.get(&job) {
                 Some(w) => {
                     if !self.has_capacity(m, &w.spec)
-                        || !self.is_eligible(ctx, m, w)
-                        || !self.within_limit(ctx, &w.spec, (0.0, 0.0))
+                        || !self.is_eligible(context, m, w)
+                        || !self.within_limit(context, &w.spec, (0.0, 0.0))
                         || self.is_reserved_for_other(id, &job)
                         || self.is_team_reserved_for_other(&w.spec)
-                        || self.is_being_cleared(ctx.now.monotonic_ms, id)
+                        || self.is_being_cleared(context.now.monotonic_ms, id)
                     {
                         return;
                     }
@@ -139,8 +139,8 @@
 
     /// First fit for work without a deadline, late or dropped. `urgent`: only what may not wait
     /// for the next mapping; it may also push lesser work aside.
-    pub(super) fn place_first_fit(&mut self, ctx: &LeaderContext, urgent: bool) {
-        let now = ctx.now.monotonic_ms;
+    pub(super) fn place_first_fit(&mut self, context: &LeaderContext, urgent: bool) {
+        let now = context.now.monotonic_ms;
         let mut order: Vec<(PlacementRank, u32, u64, String)> = self
             .jobs
             .iter()
@@ -152,13 +152,16 @@
                     is_immediate(w) && w.is_urgent()
                 } else {
                     is_immediate(w)
-                        || w.seconds_to_deadline(ctx.now.wall_ms)
+                        || w.seconds_to_deadline(context.now.wall_ms)
                             .is_some_and(|d| d <= 0.0)
                         || !w.pruned_tasks.is_empty()
                 }
             })
             .map(|(id, w)| {
-                let rank = (w.spec.priority, self.within_quota(ctx, &w.spec, (0.0, 0.0)));
+                let rank = (
+                    w.spec.priority,
+                    self.within_quota(context, &w.spec, (0.0, 0.0)),
+                );
                 (rank, backlog_rank(w), w.submitted_at_ms, id.clone())
             })
             .collect();
@@ -166,7 +169,7 @@
         if order.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(ctx);
+        let roomy = self.machines_with_capacity(context);
         let mut pools = CandidatePools::default();
         // Room that is being made for some of them already.
         let mut claims = self.refresh_preemption_claims(now);
@@ -177,7 +180,7 @@
                 continue;
             };
             let full = shape.as_ref().is_some_and(|s| none.contains(s));
-            if !full && self.place_job_first_fit(ctx, &job, urgent, &roomy, &mut pools) {
+            if !full && self.place_job_first_fit(context, &job, urgent, &roomy, &mut pools) {
                 continue;
             }
             let Some(w) = self.jobs.get(&job) else {
@@ -189,8 +192,8 @@
                 && !w.failures.job_is_broken()
                 && !making
                 && !hopeless_now
-                && self.within_limit(ctx, &w.spec, (0.0, 0.0))
-                && !self.preempt(ctx, &job, &mut claims, false)
+                && self.within_limit(context, &w.spec, (0.0, 0.0))
+                && !self.preempt(context, &job, &mut claims, false)
             {
                 hopeless.extend(shape.clone());
             }
@@ -201,7 +204,7 @@
     /// Places tasks of a job first fit. False: there is no room for the next one.
     fn place_job_first_fit(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         job: &str,
         urgent: bool,
         roomy: &[String],
@@ -212,11 +215,11 @@
             let Some(w) = self.jobs.get(job) else {
                 return true;
             };
-            if w.start_limit(ctx.now.monotonic_ms) == 0 {
+            if w.start_limit(context.now.monotonic_ms) == 0 {
                 return true;
             }
             let late = w
-                .seconds_to_deadline(ctx.now.wall_ms)
+                .seconds_to_deadline(context.now.wall_ms)
                 .is_some_and(|d| d <= 0.0);
             let index = if is_immediate(w) || late {
                 w.pending_tasks.first().copied()
@@ -225,21 +228,21 @@
             };
             let Some(index) = index else { return true };
             let spec = &w.spec;
-            if !self.within_limit(ctx, spec, (0.0, 0.0))
+            if !self.within_limit(context, spec, (0.0, 0.0))
                 || !urgent && self.is_team_reserved_for_other(spec)
             {
                 return true;
             }
             // Urgent work first pushes lesser work aside elsewhere: a gang's room takes long to gather.
-            let age = ctx.now.wall_ms.saturating_sub(w.submitted_at_ms);
+            let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
             let takes_kept = urgent || w.is_urgent();
-            let spares_gangs = takes_kept && age < k::URGENT_RESERVATION_WAIT_MS;
+            let spares_gangs = takes_kept && age < URGENT_RESERVATION_WAIT_MS;
             let takes = |m: &Machine| {
                 (m.queued.is_empty() || urgent)
                     && self.has_capacity(m, spec)
-                    && self.is_eligible(ctx, m, w)
+                    && self.is_eligible(context, m, w)
                     && (takes_kept || !self.is_reserved_for_other(&m.id, job))
-                    && (urgent || !self.is_being_cleared(ctx.now.monotonic_ms, &m.id))
+                    && (urgent || !self.is_being_cleared(context.now.monotonic_ms, &m.id))
                     && !(spares_gangs && self.is_gang_reserved_for_other(&m.id, job))
             };
             // Once one of its tasks is there, a machine is the best for the next as well.
--- a/crates/control/src/scheduler/machine_queues.rs
+++ b/crates/control/src/scheduler/machine_queues.rs
@@ -4,7 +4,7 @@
 use crate::cluster::{JobState, Lifecycle, Machine};
 use crate::leader::{Leader, LeaderContext};
 use std::collections::BTreeMap;
-use stonegw_constants as k;
+use stonegw_constants::MAX_QUEUED_TASKS_PER_MACHINE;
 use stonegw_sched::placement_estimate::{EstimatedStart, ExpectedRelease, QueueForecast};
 use stonegw_sched::pruner::{OverloadToggle, Pruner};
 use stonegw_sched::run_time_histogram::RunTimeHistogram;
@@ -161,7 +161,7 @@
         // The whole curve only where something follows from it: a task behind this one,
         // or the drop threshold.
         let last = self.machine.queued.len();
-        let whole = on || position + 1 < last || last < k::MAX_QUEUED_TASKS_PER_MACHINE;
+        let whole = on || position + 1 < last || last < MAX_QUEUED_TASKS_PER_MACHINE;
         let QueuedTaskEnd {
             end_distribution: end,
             on_time_probability: chance,
@@ -188,22 +188,22 @@
     /// leave while the toggle is on. Counts into the instantaneous robustness.
     pub(super) fn machine_queues(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         robustness: &mut OnTimeAverage,
     ) -> Vec<MachineQueue> {
-        let now = ctx.now.monotonic_ms;
+        let now = context.now.monotonic_ms;
         let ids: Vec<String> = self
             .machines
             .values()
             .filter(|m| {
                 m.lifecycle == Lifecycle::Ready
-                    && !m.is_silent(now, ctx.settings.heartbeat_interval_s)
+                    && !m.is_silent(now, context.settings.heartbeat_interval_s)
             })
             .map(|m| m.id.clone())
             .collect();
         let mut seats = vec![];
         for id in ids {
-            seats.extend(self.machine_queue(ctx, id, robustness));
+            seats.extend(self.machine_queue(context, id, robustness));
         }
         seats
     }
@@ -211,7 +211,7 @@
     /// One machine's queue. `None`: the machine takes no new tasks.
     fn machine_queue(
         &mut self,
-        ctx: &LeaderContext,
+        context: &LeaderContext,
         id: String,
         robustness: &mut OnTimeAverage,
     ) -> Option<MachineQueue> {
@@ -222,7 +222,7 @@
         let (cpus, gpus, memory) = machine.free_resources(machine_type);
         let (price, spot) = (machine_type.price_per_cpu(machine.spot), machine.spot);
         let mut builder = QueueForecastBuilder {
-            now: ctx.now,
+            now: context.now,
             machine,
             machine_type,
             jobs: &mut self.jobs,
@@ -233,8 +233,8 @@
         builder.add_placements();
         let kept = builder.add_queued();
         let queue = builder.forecast;
-        let open =
-            self.accepts_tasks(ctx, machine) && !self.is_being_cleared(ctx.now.monotonic_ms, &id);
+        let open = self.accepts_tasks(context, machine)
+            && !self.is_being_cleared(context.now.monotonic_ms, &id);
         if kept != machine.queued {
             if let Some(mut m) = self.machines.edit(&id) {
                 m.queued = kept;
--- a/crates/control/src/scheduler/mod.rs
+++ b/crates/control/src/scheduler/mod.rs
@@ -11,7 +11,9 @@
 use crate::records::ObservedRunTimes;
 use crate::resources::Resources;
 use std::collections::HashMap;
-use stonegw_constants as k;
+use stonegw_constants::{
+    ESTIMATE_PRIOR_JOBS, MAX_INHERITED_RUNS, RESOURCE_EPSILON, URGENT_PLACEMENT_INTERVAL_MS,
+};
 use stonegw_sched::pruner::Pruner;
 use stonegw_sched::run_time_histogram::RunTimeHistogram;
 use stonegw_wire::msg::{JobSpec, Priority};
@@ -56,7 +58,7 @@
             // What an earlier leader saw counts as much as a few runs of our own.
             let seen = self.observed_runs.get(&spec.id).copied();
             if let Some((n, sum)) = seen.filter(|s| s.0 > 0) {
-                for _ in 0..n.min(k::MAX_INHERITED_RUNS) {
+                for _ in 0..n.min(MAX_INHERITED_RUNS) {
                     runs.record_run(sum / f64::from(n));
                 }
             }
@@ -117,7 +119,7 @@
     /// By how much the class's estimates are off, with a few jobs' worth of trust in them.
     pub fn estimate_scale(&self, class: &str) -> f64 {
         let (n, sum) = self.estimate_ratios.get(class).copied().unwrap_or_default();
-        (sum / (n + k::ESTIMATE_PRIOR_JOBS)).exp()
+        (sum / (n + ESTIMATE_PRIOR_JOBS)).exp()
     }
 
     /// The mean run time over the types seen so far, or the estimate.
@@ -143,13 +145,16 @@
 
 impl Leader {
     /// Whether a machine takes new tasks at all.
-    fn accepts_tasks(&self, ctx: &LeaderContext, m: &Machine) -> bool {
+    fn accepts_tasks(&self, context: &LeaderContext, m: &Machine) -> bool {
         m.lifecycle == Lifecycle::Ready
-            && !m.is_silent(ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_s)
+            && !m.is_silent(
+                context.now.monotonic_ms,
+                context.settings.heartbeat_interval_s,
+            )
             && m.under_current_term
             && !m.via_store
             && m.is_trusted()
-            && ctx.now.monotonic_ms >= m.full_until
+            && context.now.monotonic_ms >= m.full_until
     }
 
     /// Whether a task of this job may go to that machine, which is open, room aside.
@@ -166,8 +171,8 @@
     }
 
     /// Whether a task of this job may go to that machine now, room aside.
-    pub fn is_eligible(&self, ctx: &LeaderContext, m: &Machine, w: &JobState) -> bool {
-        self.accepts_tasks(ctx, m) && self.meets_constraints(m, w)
+    pub fn is_eligible(&self, context: &LeaderContext, m: &Machine, w: &JobState) -> bool {
+        self.accepts_tasks(context, m) && self.meets_constraints(m, w)
     }
 
     /// Whether the machine has room for one more task.
@@ -185,31 +190,31 @@
     ) -> bool {
         let (c, g) = self.machines.team_usage(&spec.team);
         most.is_some_and(|most| {
-            c + extra.0 + spec.cpus <= most.0 + k::RESOURCE_EPSILON
-                && g + extra.1 + spec.gpus <= most.1 + k::RESOURCE_EPSILON
+            c + extra.0 + spec.cpus <= most.0 + RESOURCE_EPSILON
+                && g + extra.1 + spec.gpus <= most.1 + RESOURCE_EPSILON
         })
     }
 
     /// Whether the team's limit leaves room for one more task, besides `extra` CPUs and cards.
-    pub fn within_limit(&self, ctx: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
-        let team = ctx.settings.team(&spec.team);
+    pub fn within_limit(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
+        let team = context.settings.team(&spec.team);
         self.team_usage_within(spec, team.map(|t| (t.limit_cpus, t.limit_gpus)), extra)
     }
 
     /// Whether one more task stays within the team's guarantee.
-    pub fn within_quota(&self, ctx: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
-        let team = ctx.settings.team(&spec.team);
+    pub fn within_quota(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
+        let team = context.settings.team(&spec.team);
         self.team_usage_within(spec, team.map(|t| (t.quota_cpus, t.quota_gpus)), extra)
     }
 
     /// Places urgent work soon after an event, and maps the rest at regular times.
-    pub fn schedule(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now.monotonic_ms;
+    pub fn schedule(&mut self, context: &mut LeaderContext) {
+        let now = context.now.monotonic_ms;
         if self.scheduling_needed && now >= self.scheduler.next_urgent_pass_at {
-            self.scheduler.next_urgent_pass_at = now + k::URGENT_PLACEMENT_INTERVAL_MS;
+            self.scheduler.next_urgent_pass_at = now + URGENT_PLACEMENT_INTERVAL_MS;
             self.scheduling_needed = false;
-            self.place_first_fit(ctx, true);
-            self.place_gangs_first_fit(ctx);
+            self.place_first_fit(context, true);
+            self.place_gangs_first_fit(context);
             let holding: Vec<String> = self
                 .machines
                 .values()
@@ -217,30 +222,30 @@
                 .map(|m| m.id.clone())
                 .collect();
             for id in holding {
-                self.dispatch_queued(ctx, &id);
+                self.dispatch_queued(context, &id);
             }
         }
         if now >= self.scheduler.next_full_pass_at {
-            self.scheduler.next_full_pass_at = now + ctx.settings.tuning.scheduling_interval_ms;
-            self.place_starved(ctx);
-            self.reserve_for_gangs(ctx);
-            self.place_deadline_gangs(ctx);
-            self.place_deadline_jobs(ctx);
-            self.place_first_fit(ctx, false);
-            self.place_deferred(ctx);
-            self.reclaim_quota(ctx);
+            self.scheduler.next_full_pass_at = now + context.settings.tuning.scheduling_interval_ms;
+            self.place_starved(context);
+            self.reserve_for_gangs(context);
+            self.place_deadline_gangs(context);
+            self.place_deadline_jobs(context);
+            self.place_first_fit(context, false);
+            self.place_deferred(context);
+            self.reclaim_quota(context);
         }
     }
 
     /// Machines with any room: looked for once, not for each task.
-    pub fn machines_with_capacity(&self, ctx: &LeaderContext) -> Vec<String> {
+    pub fn machines_with_capacity(&self, context: &LeaderContext) -> Vec<String> {
         let open = self
             .machines
             .values()
-            .filter(|m| self.accepts_tasks(ctx, m));
+            .filter(|m| self.accepts_tasks(context, m));
         open.filter(|m| {
             self.machine_type(&m.machine_type)
-                .is_some_and(|t| m.free_resources(t).0 > k::RESOURCE_EPSILON)
+                .is_some_and(|t| m.free_resources(t).0 > RESOURCE_EPSILON)
         })
         .map(|m| m.id.clone())
         .collect()
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,5 +1,8 @@
 //! The settings as the core uses them; the daemon reads and checks the files.
-use stonegw_constants as k;
+use stonegw_constants::{
+    ARRIVAL_RATE_FRACTION, HEADROOM_TASKS, IDLE_RETENTION_BOOTS, LEADER_LEASE_TTL_MS,
+    SCHEDULING_INTERVAL_MS, SLACK_FRACTION,
+};
 
 /// A team's guarantee and limits. A guest has neither: no guarantee, and limits that are infinite.
 #[derive(Clone, Debug)]
@@ -51,12 +54,12 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            headroom_tasks: k::HEADROOM_TASKS,
-            idle_retention_boots: k::IDLE_RETENTION_BOOTS,
-            slack_fraction: k::SLACK_FRACTION,
-            arrival_rate_fraction: k::ARRIVAL_RATE_FRACTION,
-            leader_lease_ttl_ms: k::LEADER_LEASE_TTL_MS,
-            scheduling_interval_ms: k::SCHEDULING_INTERVAL_MS,
+            headroom_tasks: HEADROOM_TASKS,
+            idle_retention_boots: IDLE_RETENTION_BOOTS,
+            slack_fraction: SLACK_FRACTION,
+            arrival_rate_fraction: ARRIVAL_RATE_FRACTION,
+            leader_lease_ttl_ms: LEADER_LEASE_TTL_MS,
+            scheduling_interval_ms: SCHEDULING_INTERVAL_MS,
         }
     }
 }
--- a/crates/control/src/store_limits.rs
+++ b/crates/control/src/store_limits.rs
@@ -1,7 +1,7 @@
 //! How large transactions and values may be: what the settings say, lowered where the state service
 //! refuses what keeps to them. It may lower its limits at any moment, and does not say by how much.
 use crate::settings::Settings;
-use stonegw_constants as k;
+use stonegw_constants::{MAX_CONSECUTIVE_RATE_REFUSALS, MIN_VALUE_BYTES};
 
 /// How large a transaction is, as far as the state service limits it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,11 +31,11 @@
 }
 
 impl StoreLimits {
-    pub fn new(set: &Settings) -> StoreLimits {
+    pub fn new(settings: &Settings) -> StoreLimits {
         StoreLimits {
-            max_value_bytes: set.max_value_bytes,
-            max_transaction_writes: set.max_transaction_writes,
-            configured_transaction_writes: set.max_transaction_writes,
+            max_value_bytes: settings.max_value_bytes,
+            max_transaction_writes: settings.max_transaction_writes,
+            configured_transaction_writes: settings.max_transaction_writes,
             consecutive_rate_rejections: 0,
         }
     }
@@ -50,7 +50,7 @@
     pub fn max_transaction_writes(&self) -> usize {
         let again = self
             .consecutive_rate_rejections
-            .saturating_sub(k::MAX_CONSECUTIVE_RATE_REFUSALS);
+            .saturating_sub(MAX_CONSECUTIVE_RATE_REFUSALS);
         let halved = self.max_transaction_writes.checked_shr(again).unwrap_or(0);
         halved.max(1)
     }
@@ -72,7 +72,7 @@
             self.lower_max_writes(size.writes / 2);
             return true;
         }
-        let too_large = size.largest_value_bytes > k::MIN_VALUE_BYTES;
+        let too_large = size.largest_value_bytes > MIN_VALUE_BYTES;
         if too_large {
             self.lower_max_value_below(size.largest_value_bytes);
             // A single write is refused for its value, and so may those have been that led here.
@@ -93,8 +93,8 @@
         if refused > self.max_value_bytes {
             return;
         }
-        while self.max_value_bytes >= refused && self.max_value_bytes > k::MIN_VALUE_BYTES {
-            self.max_value_bytes = (self.max_value_bytes / 2).max(k::MIN_VALUE_BYTES);
+        while self.max_value_bytes >= refused && self.max_value_bytes > MIN_VALUE_BYTES {
+            self.max_value_bytes = (self.max_value_bytes / 2).max(MIN_VALUE_BYTES);
         }
         let most = self.max_value_bytes;
         log::warn!(
--- a/crates/control/src/store_limits_tests.rs
+++ b/crates/control/src/store_limits_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use stonegw_constants::MAX_CONSECUTIVE_RATE_REFUSALS;
 
 impl StoreLimits {
     /// As if a larger value had been refused.
@@ -56,7 +57,7 @@
 #[test]
 fn rate_rejections_shrink_transactions_temporarily() {
     let mut l = limits(32, 8192);
-    for _ in 0..k::MAX_CONSECUTIVE_RATE_REFUSALS {
+    for _ in 0..MAX_CONSECUTIVE_RATE_REFUSALS {
         l.record_rate_rejected();
     }
     assert_eq!(l.max_transaction_writes(), 32);
--- a/crates/control/tests/feature_gate.rs
+++ b/crates/control/tests/feature_gate.rs
@@ -1,7 +1,10 @@
 //! The gate of a rolling upgrade: one node beside a stand-in of the state service.
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use stonegw_constants as k;
+use stonegw_constants::{
+    FEATURE_GATE_READ_FRACTION, FEATURE_GATE_READ_INTERVAL_MS, LEADER_READ_FRACTION,
+    PROGRAM_VERSION, RETRY_AFTER_FEATURE_GATE_S, STORE_TIMEOUT_MS, SUBMISSION_TIMEOUT_MS,
+};
 use stonegw_control::api::{Action, CallError, CallResult, Event, Now, Target};
 use stonegw_control::node::Node;
 use stonegw_control::settings::{Settings, Team, Tuning};
@@ -15,7 +18,7 @@
 const TIMEOUT_STEPS: usize = 1_000;
 /// Enough for a node to be live and to have read the releases once.
 const FIRST_READ_MS: u64 = 1_500;
-const VERSION_SCAN_MS: u64 = k::FEATURE_GATE_READ_INTERVAL_MS + 500;
+const VERSION_SCAN_MS: u64 = FEATURE_GATE_READ_INTERVAL_MS + 500;
 
 /// How the state service answers.
 #[derive(Clone, Copy, PartialEq)]
@@ -123,7 +126,7 @@
     }
 
     fn store_current_version(&mut self, node: &str) {
-        self.put(&format!("v/{node}"), json!({"release": k::PROGRAM_VERSION}));
+        self.put(&format!("v/{node}"), json!({"release": PROGRAM_VERSION}));
     }
 
     /// The same world with a new process.
@@ -331,7 +334,7 @@
             request_id: id,
             request,
         });
-        self.run_for(k::SUBMISSION_TIMEOUT_MS + 500);
+        self.run_for(SUBMISSION_TIMEOUT_MS + 500);
         self.replies.remove(&id).expect("an answer")
     }
 
@@ -373,7 +376,7 @@
     assert!(!w.is_open());
     assert_eq!(
         w.submit_job(&gang_json(1, 2)),
-        (503, Some(k::RETRY_AFTER_FEATURE_GATE_S))
+        (503, Some(RETRY_AFTER_FEATURE_GATE_S))
     );
     assert_eq!(w.submit_job(&job_json(2, "sweep", 2)), (201, None));
 }
@@ -400,10 +403,7 @@
     w.store_current_version("node-3");
     w.run_for(20 * VERSION_SCAN_MS);
     assert!(!w.is_open());
-    assert_eq!(
-        w.recorded_version("node-0"),
-        Some(&json!(k::PROGRAM_VERSION))
-    );
+    assert_eq!(w.recorded_version("node-0"), Some(&json!(PROGRAM_VERSION)));
 }
 
 #[test]
@@ -476,7 +476,7 @@
         w.run_for(20_000);
         assert!(!w.is_open());
         w.store_behavior = StoreBehavior::Available;
-        w.run_for(VERSION_SCAN_MS + k::STORE_TIMEOUT_MS);
+        w.run_for(VERSION_SCAN_MS + STORE_TIMEOUT_MS);
         assert!(w.is_open());
     }
 }
@@ -491,7 +491,7 @@
     w.store_behavior = StoreBehavior::DropsReplies;
     w.run_until(|w| !w.transaction_keys.is_empty());
     w.store_behavior = StoreBehavior::Available;
-    w.run_for(k::STORE_TIMEOUT_MS + VERSION_SCAN_MS + 500);
+    w.run_for(STORE_TIMEOUT_MS + VERSION_SCAN_MS + 500);
     assert!(w.is_open());
     assert_eq!(
         w.transaction_keys,
@@ -502,7 +502,7 @@
 
 #[test]
 fn a_late_or_duplicate_version_write_changes_nothing() {
-    for before in [None, Some(k::PROGRAM_VERSION - 1)] {
+    for before in [None, Some(PROGRAM_VERSION - 1)] {
         let mut w = FakeStoreHarness::new();
         if let Some(release) = before {
             w.put("v/node-0", json!({"release": release}));
@@ -512,7 +512,7 @@
         w.run_until(|w| !w.transactions_sent.is_empty());
         let late = w.transactions_sent[0].clone();
         // Meanwhile a later release runs on the node.
-        let higher = json!({"release": k::PROGRAM_VERSION + 1});
+        let higher = json!({"release": PROGRAM_VERSION + 1});
         w.put("v/node-0", higher.clone());
         for _ in 0..2 {
             assert_eq!(w.commit_transaction(&late).0, 409);
@@ -524,21 +524,18 @@
 #[test]
 fn a_lower_version_record_is_replaced_and_keeps_gate_closed() {
     let mut w = FakeStoreHarness::new();
-    w.put("v/node-0", json!({"release": k::PROGRAM_VERSION - 1}));
-    w.put("v/node-1", json!({"release": k::PROGRAM_VERSION - 1}));
+    w.put("v/node-0", json!({"release": PROGRAM_VERSION - 1}));
+    w.put("v/node-1", json!({"release": PROGRAM_VERSION - 1}));
     w.store_current_version("node-2");
     w.run_for(FIRST_READ_MS);
-    assert_eq!(
-        w.recorded_version("node-0"),
-        Some(&json!(k::PROGRAM_VERSION))
-    );
+    assert_eq!(w.recorded_version("node-0"), Some(&json!(PROGRAM_VERSION)));
     assert!(!w.is_open());
 }
 
 #[test]
 fn higher_version_records_count_and_are_not_overwritten() {
     let mut w = FakeStoreHarness::new();
-    let higher = json!({"release": k::PROGRAM_VERSION + 1, "since": "later"});
+    let higher = json!({"release": PROGRAM_VERSION + 1, "since": "later"});
     for node in ["v/node-0", "v/node-1", "v/node-2"] {
         w.put(node, higher.clone());
     }
@@ -571,7 +568,7 @@
         // Its own is replaced, for it says nothing; the other node replaces its own likewise.
         assert_eq!(
             w.recorded_version("node-0"),
-            Some(&json!(k::PROGRAM_VERSION)),
+            Some(&json!(PROGRAM_VERSION)),
             "{form}"
         );
         w.store_current_version("node-1");
@@ -647,7 +644,7 @@
     assert_eq!(w.submit_job(&gang_json(1, 5)).0, 422);
     assert_eq!(
         w.submit_job(&gang_json(2, 4)),
-        (503, Some(k::RETRY_AFTER_FEATURE_GATE_S))
+        (503, Some(RETRY_AFTER_FEATURE_GATE_S))
     );
     w.store_current_version("node-1");
     w.store_current_version("node-2");
@@ -702,8 +699,8 @@
     let mut w = FakeStoreHarness::with_settings(settings(rps));
     let seconds = 600;
     w.run_for(seconds * 1_000);
-    let share = rps * (1.0 - k::LEADER_READ_FRACTION) / 2.0;
-    let most = share * k::FEATURE_GATE_READ_FRACTION * seconds as f64;
+    let share = rps * (1.0 - LEADER_READ_FRACTION) / 2.0;
+    let most = share * FEATURE_GATE_READ_FRACTION * seconds as f64;
     let reads = w.version_read_times.len() as f64;
     // Two at the beginning, before and after the record is stored.
     assert!(reads <= most + 2.0, "{reads} reads, {most} allowed");
--- a/crates/net/src/admission.rs
+++ b/crates/net/src/admission.rs
@@ -1,6 +1,10 @@
 //! A limit on user requests in progress that adjusts itself to measured times.
 use std::collections::HashMap;
-use stonegw_constants as k;
+use stonegw_constants::{
+    ADMISSION_BASELINE_WEIGHT, ADMISSION_DECREASE_FACTOR, ADMISSION_LATENCY_FLOOR_MS,
+    ADMISSION_LATENCY_TOLERANCE, ADMISSION_LIMIT_INITIAL, ADMISSION_LIMIT_MAX, ADMISSION_LIMIT_MIN,
+    ADMISSION_MAX_STARVATION_MS, ADMISSION_MAX_TRACKED_REJECTIONS, ADMISSION_STATUS_QUERY_FRACTION,
+};
 
 /// Grows by one for every limit's worth of requests answered in the usual time; shrinks by a
 /// tenth when one took several times as long.
@@ -17,7 +21,7 @@
 impl Default for AdmissionLimiter {
     fn default() -> Self {
         AdmissionLimiter {
-            limit: k::ADMISSION_LIMIT_INITIAL,
+            limit: ADMISSION_LIMIT_INITIAL,
             requests_in_progress: 0,
             baseline_latency_ms: 0.0,
             next_decrease_at: 0,
@@ -31,8 +35,8 @@
     /// cancellations, however many there are; one turned away for long comes in whatever the limit.
     pub fn try_admit(&mut self, now: u64, question: Option<&str>) -> bool {
         let since = question.and_then(|q| self.rejected_since.get(q)).copied();
-        let due = since.is_some_and(|at| now >= at + k::ADMISSION_MAX_STARVATION_MS);
-        let part = question.map_or(1.0, |_| k::ADMISSION_STATUS_QUERY_FRACTION);
+        let due = since.is_some_and(|at| now >= at + ADMISSION_MAX_STARVATION_MS);
+        let part = question.map_or(1.0, |_| ADMISSION_STATUS_QUERY_FRACTION);
         let ok = (self.requests_in_progress as f64) < self.limit * part || due;
         if ok {
             self.requests_in_progress += 1;
@@ -40,12 +44,12 @@
         match question {
             Some(q) if ok => drop(self.rejected_since.remove(q)),
             Some(q) if since.is_none() => {
-                if self.rejected_since.len() >= k::ADMISSION_MAX_TRACKED_REJECTIONS {
+                if self.rejected_since.len() >= ADMISSION_MAX_TRACKED_REJECTIONS {
                     // Whoever has not asked again for so long asks elsewhere.
-                    let fair = k::ADMISSION_MAX_STARVATION_MS;
+                    let fair = ADMISSION_MAX_STARVATION_MS;
                     self.rejected_since.retain(|_, at| now < *at + 8 * fair);
                 }
-                if self.rejected_since.len() < k::ADMISSION_MAX_TRACKED_REJECTIONS {
+                if self.rejected_since.len() < ADMISSION_MAX_TRACKED_REJECTIONS {
                     self.rejected_since.insert(q.to_owned(), now);
                 }
             }
@@ -67,20 +71,18 @@
             self.baseline_latency_ms = took;
         }
         let slow = took
-            > (self.baseline_latency_ms * k::ADMISSION_LATENCY_TOLERANCE)
-                .max(k::ADMISSION_LATENCY_FLOOR_MS);
+            > (self.baseline_latency_ms * ADMISSION_LATENCY_TOLERANCE)
+                .max(ADMISSION_LATENCY_FLOOR_MS);
         if slow {
             // Requests that waited together tell of one delay: one cut for all of them.
             if now >= self.next_decrease_at {
-                self.limit =
-                    (self.limit * k::ADMISSION_DECREASE_FACTOR).max(k::ADMISSION_LIMIT_MIN);
+                self.limit = (self.limit * ADMISSION_DECREASE_FACTOR).max(ADMISSION_LIMIT_MIN);
                 self.next_decrease_at = now + took_ms;
             }
         } else {
-            self.limit = (self.limit + 1.0 / self.limit).min(k::ADMISSION_LIMIT_MAX);
+            self.limit = (self.limit + 1.0 / self.limit).min(ADMISSION_LIMIT_MAX);
         }
-        self.baseline_latency_ms +=
-            (took - self.baseline_latency_ms) * k::ADMISSION_BASELINE_WEIGHT;
+        self.baseline_latency_ms += (took - self.baseline_latency_ms) * ADMISSION_BASELINE_WEIGHT;
     }
 
     /// The present limit on requests in progress.
--- a/crates/net/src/event_loop/accept.rs
+++ b/crates/net/src/event_loop/accept.rs
@@ -3,7 +3,9 @@
 use crate::connection::{Connection, ConnectionKind};
 use std::io;
 use std::net::TcpStream;
-use stonegw_constants as k;
+use stonegw_constants::{
+    IDLE_CONNECTION_TIMEOUT_MS, IDLE_EVICTION_BATCH, RESERVED_OUTBOUND_SOCKETS, UNCOUNTED_SOCKETS,
+};
 
 /// The rank of an idle connection, lowest closed first; `None` if it is in use.
 fn eviction_rank(c: &Connection) -> Option<(u8, u64)> {
@@ -23,7 +25,7 @@
     pub(super) fn ensure_socket_available(&mut self, kept: usize) -> bool {
         let most = self
             .max_sockets
-            .saturating_sub(kept + FIRST_CONNECTION_KEY + k::UNCOUNTED_SOCKETS);
+            .saturating_sub(kept + FIRST_CONNECTION_KEY + UNCOUNTED_SOCKETS);
         if self.connections.len() >= most {
             self.evict_idle_connections();
         }
@@ -41,7 +43,7 @@
             self.connections.len()
         );
         // Several at once, for looking at all of them costs time.
-        for (_, key) in idle.into_iter().take(k::IDLE_EVICTION_BATCH) {
+        for (_, key) in idle.into_iter().take(IDLE_EVICTION_BATCH) {
             self.close_connection(key);
         }
     }
@@ -71,7 +73,7 @@
     }
 
     fn register_accepted(&mut self, stream: TcpStream, user: bool, now: u64) {
-        let kept = k::RESERVED_OUTBOUND_SOCKETS.min(self.max_sockets / 4);
+        let kept = RESERVED_OUTBOUND_SOCKETS.min(self.max_sockets / 4);
         if !self.ensure_socket_available(if user { kept } else { 0 }) {
             // Dropped: the load balancer turns to another node.
             log::debug!("too many connections");
@@ -90,7 +92,7 @@
         self.register_connection(Connection::new(
             stream,
             role,
-            now + k::IDLE_CONNECTION_TIMEOUT_MS,
+            now + IDLE_CONNECTION_TIMEOUT_MS,
         ));
     }
 }
--- a/crates/net/src/event_loop/client.rs
+++ b/crates/net/src/event_loop/client.rs
@@ -3,7 +3,9 @@
 use super::EventLoop;
 use crate::connection::{Connection, ConnectionKind, ReadOutcome};
 use crate::event::{CallFailure, NetworkEvent};
-use stonegw_constants as k;
+use stonegw_constants::{
+    IDLE_CLIENT_CONNECTION_TIMEOUT_MS, MAX_RESPONSE_BYTES, RESERVED_SERVICE_SOCKETS,
+};
 use stonegw_wire::http::{self, HttpError};
 
 impl EventLoop {
@@ -46,11 +48,7 @@
 
     /// Starts a new connection for a call, if there is a socket left for it.
     fn connect_for_call(&mut self, addr: &str, vital: bool) -> Option<usize> {
-        if !self.ensure_socket_available(if vital {
-            0
-        } else {
-            k::RESERVED_SERVICE_SOCKETS
-        }) {
+        if !self.ensure_socket_available(if vital { 0 } else { RESERVED_SERVICE_SOCKETS }) {
             log::warn!("no socket left for {addr}");
             return None;
         }
@@ -95,7 +93,7 @@
             // Closed, or unasked bytes: of no use any more.
             return self.close_connection(key);
         };
-        match http::parse_response(&c.input, k::MAX_RESPONSE_BYTES) {
+        match http::parse_response(&c.input, MAX_RESPONSE_BYTES) {
             Ok(Some((response, taken))) => {
                 let keep = !response.connection_close
                     && taken == c.input.len()
@@ -111,7 +109,7 @@
                 });
                 if keep {
                     self.idle_connections.entry(addr).or_default().push(key);
-                    c.deadline = now + k::IDLE_CLIENT_CONNECTION_TIMEOUT_MS;
+                    c.deadline = now + IDLE_CLIENT_CONNECTION_TIMEOUT_MS;
                 } else {
                     self.close_connection(key);
                 }
@@ -121,7 +119,7 @@
             Err(HttpError::BodyTooLarge) => {
                 log::warn!(
                     "{addr} answered with more than {} bytes",
-                    k::MAX_RESPONSE_BYTES
+                    MAX_RESPONSE_BYTES
                 );
                 *call = None;
                 self.calls_in_progress.remove(&id);
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -15,7 +15,10 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
-use stonegw_constants as k;
+use stonegw_constants::{
+    MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BYTES, PROCESS_PAUSE_THRESHOLD_MS,
+    TIMER_INTERVAL_MS,
+};
 
 const CLIENT_LISTENER_KEY: usize = 0;
 const PEER_LISTENER_KEY: usize = 1;
@@ -98,7 +101,7 @@
             self.write_output(key);
         }
         let wait = Duration::from_millis(if self.pending_events.is_empty() {
-            k::TIMER_INTERVAL_MS
+            TIMER_INTERVAL_MS
         } else {
             0
         });
@@ -160,8 +163,8 @@
             return;
         };
         let limit = match c.kind {
-            ConnectionKind::Server { .. } => k::MAX_HEAD_BYTES + k::MAX_REQUEST_BODY_BYTES,
-            _ => k::MAX_RESPONSE_BYTES,
+            ConnectionKind::Server { .. } => MAX_HEAD_BYTES + MAX_REQUEST_BODY_BYTES,
+            _ => MAX_RESPONSE_BYTES,
         };
         let got = c.read_available(limit);
         match c.kind {
@@ -183,7 +186,7 @@
     fn run_timers(&mut self) {
         let now = self.now_ms();
         let gap = now.saturating_sub(std::mem::replace(&mut self.timers_ran_at, now));
-        if gap >= k::PROCESS_PAUSE_THRESHOLD_MS {
+        if gap >= PROCESS_PAUSE_THRESHOLD_MS {
             return self.extend_deadlines(gap);
         }
         self.close_timed_out_calls(now);
--- a/crates/net/src/event_loop/peer.rs
+++ b/crates/net/src/event_loop/peer.rs
@@ -3,7 +3,10 @@
 use super::EventLoop;
 use crate::connection::{Connection, ConnectionKind, ReadOutcome};
 use crate::event::{NetworkEvent, PeerLink};
-use stonegw_constants as k;
+use stonegw_constants::{
+    IDLE_CONNECTION_TIMEOUT_MS, MAX_PEER_BACKLOG_BYTES, PEER_REDIAL_INTERVAL_MS,
+    REQUEST_READ_TIMEOUT_MS,
+};
 use stonegw_wire::frame::Frame;
 
 impl EventLoop {
@@ -20,7 +23,7 @@
             return;
         };
         frame.write(&mut c.output);
-        if c.output.len() > k::MAX_PEER_BACKLOG_BYTES {
+        if c.output.len() > MAX_PEER_BACKLOG_BYTES {
             log::warn!("a peer stopped reading");
             return self.close_connection(key);
         }
@@ -39,7 +42,7 @@
             match Frame::parse(&c.input) {
                 Ok(Some((frame, taken))) => {
                     c.input.drain(..taken);
-                    c.deadline = now + k::IDLE_CONNECTION_TIMEOUT_MS;
+                    c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
                     self.pending_events
                         .push(NetworkEvent::Frame { link: from, frame });
                 }
@@ -62,13 +65,13 @@
             if !due {
                 continue;
             }
-            self.peer_links[i] = Err(now + k::PEER_REDIAL_INTERVAL_MS);
+            self.peer_links[i] = Err(now + PEER_REDIAL_INTERVAL_MS);
             match start_connect(&self.peer_addrs[i]) {
                 Ok(stream) => {
                     let mut c = Connection::new(
                         stream,
                         ConnectionKind::PeerOutbound(i),
-                        now + k::REQUEST_READ_TIMEOUT_MS,
+                        now + REQUEST_READ_TIMEOUT_MS,
                     );
                     c.is_connecting = true;
                     if let Some(key) = self.register_connection(c) {
--- a/crates/net/src/event_loop/registry.rs
+++ b/crates/net/src/event_loop/registry.rs
@@ -3,7 +3,7 @@
 use crate::connection::{Connection, ConnectionKind};
 use crate::event::{CallFailure, NetworkEvent, PeerLink};
 use polling::{Event, PollMode};
-use stonegw_constants as k;
+use stonegw_constants::PEER_REDIAL_INTERVAL_MS;
 
 /// The events to wait for: reads, and writes if `writes`.
 fn poll_interest(key: usize, writes: bool) -> Event {
@@ -60,7 +60,7 @@
                 self.forget_client_connection(key, &addr, call, why);
             }
             ConnectionKind::PeerOutbound(i) => {
-                self.peer_links[i] = Err(self.now_ms() + k::PEER_REDIAL_INTERVAL_MS);
+                self.peer_links[i] = Err(self.now_ms() + PEER_REDIAL_INTERVAL_MS);
                 if !c.is_connecting {
                     self.pending_events
                         .push(NetworkEvent::LinkDown(PeerLink::Outbound(i)));
--- a/crates/net/src/event_loop/server.rs
+++ b/crates/net/src/event_loop/server.rs
@@ -2,7 +2,10 @@
 use super::EventLoop;
 use crate::connection::ConnectionKind;
 use crate::event::NetworkEvent;
-use stonegw_constants as k;
+use stonegw_constants::{
+    IDLE_CONNECTION_TIMEOUT_MS, MAX_REQUEST_BODY_BYTES, REQUEST_READ_TIMEOUT_MS,
+    RETRY_AFTER_OVERLOAD_S,
+};
 use stonegw_wire::http::{self, HttpError, Request};
 use stonegw_wire::msg::{encode, ErrorBody};
 
@@ -23,7 +26,7 @@
         };
         *busy = false;
         http::write_response(&mut c.output, status, retry_after_s, *close, body);
-        c.deadline = now + k::IDLE_CONNECTION_TIMEOUT_MS;
+        c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
         if c.counts_toward_admission {
             c.counts_toward_admission = false;
             self.admission
@@ -50,16 +53,16 @@
         if *busy || c.input.is_empty() {
             return;
         }
-        match http::parse_request(&c.input, k::MAX_REQUEST_BODY_BYTES) {
+        match http::parse_request(&c.input, MAX_REQUEST_BODY_BYTES) {
             Ok(None) => {
                 // From its first byte a request has so long to arrive.
-                c.deadline = c.deadline.min(now + k::REQUEST_READ_TIMEOUT_MS);
+                c.deadline = c.deadline.min(now + REQUEST_READ_TIMEOUT_MS);
             }
             Ok(Some((request, taken))) => {
                 c.input.drain(..taken);
                 *busy = true;
                 *close = request.connection_close;
-                c.deadline = now + k::IDLE_CONNECTION_TIMEOUT_MS;
+                c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
                 c.request_received_at = now;
                 self.admit_request(key, request, now);
             }
@@ -75,7 +78,7 @@
             let body = encode(&ErrorBody {
                 error: "too many requests in progress".into(),
             });
-            return self.reply(key as u64, 429, Some(k::RETRY_AFTER_OVERLOAD_S), &body);
+            return self.reply(key as u64, 429, Some(RETRY_AFTER_OVERLOAD_S), &body);
         }
         if let Some(c) = self.connections.get_mut(&key) {
             c.counts_toward_admission = user;
--- a/crates/net/src/event_loop/socket.rs
+++ b/crates/net/src/event_loop/socket.rs
@@ -2,7 +2,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use stonegw_constants as k;
+use stonegw_constants::LISTEN_BACKLOG;
 
 fn open_socket(addr: SocketAddr) -> io::Result<Socket> {
     Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))
@@ -13,7 +13,7 @@
     let socket = open_socket(addr)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(k::LISTEN_BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
--- a/crates/net/tests/admission.rs
+++ b/crates/net/tests/admission.rs
@@ -1,4 +1,4 @@
-use stonegw_constants as k;
+use stonegw_constants::ADMISSION_LIMIT_MIN;
 use stonegw_net::admission::*;
 
 #[test]
@@ -16,7 +16,7 @@
         a.record_completion(10_000 + t * 2_000, 1_500);
     }
     assert!(a.limit() < grown * 0.8, "{} of {grown}", a.limit());
-    assert!(a.limit() >= k::ADMISSION_LIMIT_MIN);
+    assert!(a.limit() >= ADMISSION_LIMIT_MIN);
     let mut taken = 0;
     while a.try_admit(0, None) {
         taken += 1;
--- a/crates/stonegwd/src/main.rs
+++ b/crates/stonegwd/src/main.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
-use stonegw_constants as k;
+use stonegw_constants::{SLOW_TURN_THRESHOLD_MS, STALE_TURN_THRESHOLD_MS};
 use stonegw_control::api::{Action, CallError, Event, Link, Now, Target};
 use stonegw_control::node::Node;
 use stonegw_net::{CallFailure, EventLoop, NetworkEvent};
@@ -88,13 +88,13 @@
         let (came, began) = (events.len(), net.now_ms());
         let actions = node.handle(now, events.drain(..));
         let took = net.now_ms() - began;
-        if took > k::SLOW_TURN_THRESHOLD_MS {
+        if took > SLOW_TURN_THRESHOLD_MS {
             log::info!("a turn of {came} events took {took} ms");
         }
         for action in actions {
             // Should the process have stood still meanwhile, the lease on which the cloud and the
             // workers may be told something may be over.
-            let stale = net.now_ms() > now.monotonic_ms + k::STALE_TURN_THRESHOLD_MS;
+            let stale = net.now_ms() > now.monotonic_ms + STALE_TURN_THRESHOLD_MS;
             perform_action(&mut net, action, &cloud, &state, stale);
         }
         events.extend(net.poll()?.into_iter().map(to_controller_event));
