--- a/crates/control/src/aging.rs
+++ b/crates/control/src/aging.rs
@@ -5,7 +5,8 @@
 //! team's, is kept for it until it does.
 use crate::api::Millis;
 use crate::cluster::{JobState, Machine};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use std::collections::HashMap;
 use stonegw_constants::{
     DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS, RESOURCE_EPSILON, STARVATION_MS,
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -70,3 +70,11 @@
         frame: Frame,
     },
 }
+
+/// A call's result in words, for the log.
+pub(crate) fn describe_result(result: &CallResult) -> String {
+    match result {
+        Ok((status, _)) => format!("status {status}"),
+        Err(error) => format!("{error:?}"),
+    }
+}
--- a/crates/control/src/autoscaler/call_results.rs
+++ b/crates/control/src/autoscaler/call_results.rs
@@ -1,8 +1,9 @@
 //! Answers of the cloud: each goes to the part of the fleet that asked.
-use super::AutoscalerCall;
+use crate::api::describe_result;
 use crate::api::{CallResult, Millis};
-use crate::leader::{Leader, LeaderContext};
-use crate::node::describe_result;
+use crate::calls::AutoscalerCall;
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use stonegw_constants::{CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS};
 
 impl Leader {
--- a/crates/control/src/autoscaler/catalog.rs
+++ b/crates/control/src/autoscaler/catalog.rs
@@ -1,7 +1,8 @@
 //! The cloud's catalogue of machine types: read from time to time, since prices change.
-use super::AutoscalerCall;
 use crate::api::{CallResult, Millis};
-use crate::leader::{Leader, LeaderContext};
+use crate::calls::AutoscalerCall;
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use stonegw_constants::{CATALOG_READ_INTERVAL_MS, CLOUD_RETRY_BACKOFF_MS};
 use stonegw_wire::msg::{decode, Catalog};
 
--- a/crates/control/src/autoscaler/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -1,7 +1,8 @@
 //! Demand: the tasks that machines may be rented for, from the work at hand.
 use super::capacity::{is_placement_allowed, slots_in, MachineCapacity};
 use crate::cluster::{JobState, Lifecycle, Machine};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use std::cmp::Reverse;
 use stonegw_constants::{DEADLINE_RUN_TIME_MULTIPLE, LATE_RUN_TIME_MULTIPLE};
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
--- a/crates/control/src/autoscaler/headroom.rs
+++ b/crates/control/src/autoscaler/headroom.rs
@@ -2,7 +2,8 @@
 use super::capacity::slots_on_empty_machine;
 use crate::api::Millis;
 use crate::cluster::{Lifecycle, Machine};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use crate::resources::Resources;
 use stonegw_constants::{HEADROOM_BOOT_LATE_MULTIPLE, RESOURCE_EPSILON, URGENT_ARRIVAL_WINDOW_MS};
 use stonegw_wire::msg::{JobSpec, MachineType};
--- a/crates/control/src/autoscaler/machine_list.rs
+++ b/crates/control/src/autoscaler/machine_list.rs
@@ -1,9 +1,10 @@
 //! The cloud's list of machines: read page by page, then taken in.
-use super::AutoscalerCall;
+use crate::api::describe_result;
 use crate::api::{CallResult, Millis};
+use crate::calls::AutoscalerCall;
 use crate::cluster::{Lifecycle, Machine};
-use crate::leader::{Leader, LeaderContext};
-use crate::node::describe_result;
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use std::collections::HashSet;
 use stonegw_constants::MACHINE_LIST_INTERVAL_MS;
 use stonegw_wire::msg::{decode, ListedMachine, MachineListPage, MachineState};
--- a/crates/control/src/autoscaler/mod.rs
+++ b/crates/control/src/autoscaler/mod.rs
@@ -2,7 +2,8 @@
 //! at hand, the live catalogue and the refusals observed; names of requests carry the term and
 //! are never reused.
 use crate::api::Millis;
-use crate::leader::{Leader, LeaderContext, Stage};
+use crate::context::LeaderContext;
+use crate::leader::{Leader, Stage};
 use crate::pause::Pause;
 use crate::settings::TokenBucket;
 use std::collections::{HashMap, VecDeque};
@@ -21,19 +22,6 @@
 mod scale_in;
 mod sizing;
 
-/// A call to the cloud that is under way.
-#[derive(Debug)]
-pub enum AutoscalerCall {
-    /// Reads the catalogue.
-    ReadCatalog,
-    /// Reads a page of the machine list.
-    ListMachines,
-    /// Rents: the number of the rental.
-    Provision(u64),
-    /// Returns these machines.
-    Terminate(Vec<String>),
-}
-
 /// Whether a rental waits to be asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ProvisionState {
--- a/crates/control/src/autoscaler/provision.rs
+++ b/crates/control/src/autoscaler/provision.rs
@@ -1,9 +1,11 @@
 //! Renting: rentals are queued, sent one at a time, and repeated until they are answered.
-use super::{AutoscalerCall, MachineOffer, OfferBackoff, PendingProvision, ProvisionState};
+use super::{MachineOffer, OfferBackoff, PendingProvision, ProvisionState};
+use crate::api::describe_result;
 use crate::api::{CallError, CallResult, Millis};
+use crate::calls::AutoscalerCall;
 use crate::cluster::Machine;
-use crate::leader::{Leader, LeaderContext};
-use crate::node::describe_result;
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use std::collections::BTreeMap;
 use stonegw_constants::{
     CLOUD_RETRY_BACKOFF_MS, MAX_MACHINES_PER_PROVISION, PROVISION_BACKOFF_MAX_MS,
--- a/crates/control/src/autoscaler/scale_in.rs
+++ b/crates/control/src/autoscaler/scale_in.rs
@@ -2,10 +2,11 @@
 //! for.
 use super::capacity::slots_on_empty_machine;
 use super::gang_headroom::GangHeadroom;
-use super::AutoscalerCall;
 use crate::api::Millis;
+use crate::calls::AutoscalerCall;
 use crate::cluster::{Lifecycle, Machine, Phase};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use stonegw_constants::{
     BOOT_TIMEOUT_MULTIPLE, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MAX_MACHINES_PER_DELETE,
 };
--- a/crates/control/src/leader/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,7 +1,7 @@
 //! The calls of the leader that wait for an answer.
-use super::{PendingWrite, TransactionSize};
 use crate::api::Millis;
-use crate::autoscaler::AutoscalerCall;
+use crate::cluster::PendingWrite;
+use crate::store_limits::TransactionSize;
 
 /// A call that waits for its answer, with what the answer is needed for.
 #[derive(Debug)]
@@ -42,3 +42,16 @@
         )
     }
 }
+
+/// A call of the autoscaler to the cloud.
+#[derive(Debug)]
+pub enum AutoscalerCall {
+    /// Reads the catalogue of machine types.
+    ReadCatalog,
+    /// Reads a page of the machine list.
+    ListMachines,
+    /// Asks for machines: the number of the request.
+    Provision(u64),
+    /// Deletes these machines.
+    Terminate(Vec<String>),
+}
--- a/crates/control/src/leader/pending_write.rs
+++ b/crates/control/src/cluster/pending_write.rs
@@ -1,5 +1,5 @@
 //! What one transaction changes, and the key of each such change.
-use super::*;
+use crate::records::{job_key, machine_group_key, result_chunk_key};
 
 /// A machine's name and an attempt on it.
 pub type PlacementRef = (String, u64);
@@ -30,7 +30,7 @@
 }
 
 /// The key of the record that an item changes.
-pub(super) fn pending_write_key(item: &PendingWrite) -> String {
+pub(crate) fn pending_write_key(item: &PendingWrite) -> String {
     match item {
         PendingWrite::MachineGroup {
             machine_group: shard,
@@ -40,7 +40,7 @@
             machine_group: shard,
         } => machine_group_key(*shard),
         PendingWrite::ResultChunk { job, chunk, .. } => result_chunk_key(job, *chunk),
-        PendingWrite::JobEnd { job, .. } => records::job_key(job),
+        PendingWrite::JobEnd { job, .. } => job_key(job),
         PendingWrite::DeleteResultChunk { key } => key.clone(),
     }
 }
--- a/crates/control/src/leader/placement_rules.rs
+++ b/crates/control/src/cluster/placement_rules.rs
@@ -1,5 +1,5 @@
 //! The rules for where and when the tasks of a job may be placed.
-use crate::cluster::{JobState, Machines};
+use super::{JobState, Machines};
 use stonegw_wire::msg::JobKind;
 
 /// Which tasks a job may have where, given its others.
--- a/crates/control/src/leader/reported_phase.rs
+++ b/crates/control/src/cluster/reported_phase.rs
@@ -1,9 +1,9 @@
 //! The phase of a placement as a worker reports it.
-use crate::cluster::Phase;
+use super::Phase;
 use stonegw_wire::msg::{ExitCause, TaskState, TaskStatus};
 
 /// The phase that a worker reports for a task.
-pub(super) fn reported_phase(t: &TaskStatus) -> Phase {
+pub(crate) fn reported_phase(t: &TaskStatus) -> Phase {
     match t.state {
         TaskState::Fetching | TaskState::Other => Phase::Fetching,
         TaskState::WaitingForGang => Phase::WaitingForGang,
@@ -17,6 +17,6 @@
 }
 
 /// A task in this phase still takes its room.
-pub(super) fn is_present_phase(phase: Phase) -> bool {
+pub(crate) fn is_present_phase(phase: Phase) -> bool {
     !matches!(phase, Phase::Exited { .. })
 }
--- a/crates/control/src/leader/context.rs
+++ b/crates/control/src/context.rs
@@ -1,9 +1,13 @@
-//! What the leader may use of its node, and how it makes calls.
-use super::*;
-use crate::autoscaler::AutoscalerCall;
+//! What the leader and its parts may use of their node during one turn, and how they make calls.
+use crate::api::{Now, Target};
+use crate::calls::{AutoscalerCall, LeaderCall};
+use crate::outbox::Outbox;
+use crate::replica::Replica;
+use crate::settings::{Settings, TokenBucket};
+use crate::store_limits::StoreLimits;
 use stonegw_constants::{CLOUD_TIMEOUT_MS, STORE_TIMEOUT_MS};
 
-/// What the leader may use of its node.
+/// What the leader and its parts may use of their node during one turn.
 pub struct LeaderContext<'a> {
     pub now: Now,
     pub settings: &'a Settings,
--- a/crates/control/src/gang/mod.rs
+++ b/crates/control/src/gang/mod.rs
@@ -9,7 +9,8 @@
 //! `place` chooses machines and places an attempt whole, `reserve` keeps or makes room for one.
 use crate::api::Millis;
 use crate::cluster::{JobState, Phase};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use crate::pause::Pause;
 use std::collections::BTreeSet;
 use stonegw_constants::{ATTEMPTS_PER_TERM, GANG_CHECK_INTERVAL_MS, STOP_GRACE_MARGIN_S};
--- a/crates/control/src/gang/placement.rs
+++ b/crates/control/src/gang/placement.rs
@@ -1,7 +1,8 @@
 //! Choosing machines for a gang, and placing it whole.
 use super::GangState;
 use crate::cluster::{JobState, Machine};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/control/src/gang/reservation.rs
+++ b/crates/control/src/gang/reservation.rs
@@ -7,7 +7,8 @@
 //! tasks, so no two gangs each keep half of what both need.
 use crate::api::Millis;
 use crate::cluster::{JobState, Machine};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use crate::preemption::{PreemptionOffer, PreemptionRequest};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/control/src/leader/fixture_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -1,5 +1,9 @@
 //! A leader alone with a small state service, for tests of what it stores.
 use super::*;
+use crate::api::Now;
+use crate::outbox::Outbox;
+use crate::replica::Replica;
+use crate::settings::TokenBucket;
 use crate::store_limits::StoreLimits;
 use stonegw_constants::STORE_RETRY_BACKOFF_MS;
 
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -255,15 +255,12 @@
 #[test]
 fn a_cancelled_record_above_the_limit_is_stored_without_its_description() {
     let spec = job_spec("run-1", 3);
-    let record = records::JobRecord::submitted(&spec, 5).cancelled();
+    let record = JobRecord::submitted(&spec, 5).cancelled();
     let size = json_size_bytes(&record);
     assert_eq!(record.clone().fit_within(size).spec, Some(spec.clone()));
     let short = record.fit_within(size - 1);
-    assert_eq!(
-        (short.spec, short.end),
-        (None, Some(records::JobEnd::Cancelled))
-    );
-    let open = records::JobRecord::submitted(&spec, 5);
+    assert_eq!((short.spec, short.end), (None, Some(JobEnd::Cancelled)));
+    let open = JobRecord::submitted(&spec, 5);
     assert_eq!(open.fit_within(10).spec, Some(spec));
 }
 
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -2,22 +2,23 @@
 //!
 //! The two rules everything here serves: a `run` goes out only after its placement is stored
 //! under our term, and a task moves only when it is proven gone.
-use crate::api::{CallError, CallResult, Millis, Now, Target};
+use crate::api::{describe_result, CallError, CallResult, Millis, Target};
 use crate::autoscaler::Autoscaler;
+use crate::calls::LeaderCall;
 use crate::cluster::{
-    JobState, Lifecycle, Machine, MachineGroup, Machines, Phase, Placement, Reachability,
+    is_present_phase, pending_write_key, reported_phase, JobState, Lifecycle, Machine,
+    MachineGroup, Machines, PendingWrite, Phase, Placement, PlacementRef, Reachability,
     ResultChunk, StoredState,
 };
-use crate::node::{describe_result, Outbox};
+use crate::context::LeaderContext;
 use crate::records::{
-    self, job_key, machine_group_key, parse_task_name, result_chunk_key, JobEnd, JobRecord, JobRow,
+    job_key, machine_group_key, parse_task_name, result_chunk_key, JobEnd, JobRecord, JobRow,
     MachineGroupRecord, MachineRow, ResultChunkRecord, StoredRecord, TaskRow, LEADER_KEY,
     MACHINE_GROUPS_PREFIX, RESULT_CHUNKS_PREFIX,
 };
-use crate::replica::Replica;
 use crate::scheduler::Scheduler;
-use crate::settings::{Settings, TokenBucket};
-use crate::store_limits::{StoreLimits, TransactionSize};
+use crate::settings::Settings;
+use crate::store_limits::TransactionSize;
 use rand::{rngs::SmallRng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_constants::{
@@ -30,10 +31,8 @@
     Heartbeat, JobKind, MachineType, Priority, TaskStatus, Txn, TxnResponse, Write,
 };
 
-mod calls;
 mod commit;
 mod commit_results;
-mod context;
 mod direct_commands;
 #[cfg(test)]
 mod fixture_tests;
@@ -44,10 +43,7 @@
 mod machine_group_records;
 mod machine_group_split;
 mod machine_health;
-mod pending_write;
 mod placement;
-mod placement_rules;
-mod reported_phase;
 mod results;
 mod resume;
 mod revision_reads;
@@ -55,13 +51,7 @@
 mod task_failures;
 mod transaction_builder;
 
-pub use calls::LeaderCall;
-pub use context::LeaderContext;
 use listing_page::page;
-use pending_write::pending_write_key;
-pub use pending_write::{PendingWrite, PlacementRef};
-pub use placement_rules::{is_immediate, zone_allows};
-use reported_phase::{is_present_phase, reported_phase};
 
 /// How far the leader has come since it began.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -2,10 +2,13 @@
 pub mod aging;
 pub mod api;
 pub mod autoscaler;
+pub mod calls;
 pub mod cluster;
+pub mod context;
 pub mod gang;
 pub mod leader;
 pub mod node;
+mod outbox;
 pub mod pause;
 pub mod preemption;
 pub mod records;
--- a/crates/control/src/node/call_results.rs
+++ b/crates/control/src/node/call_results.rs
@@ -111,11 +111,3 @@
         }
     }
 }
-
-/// An answer in words, for the log.
-pub(crate) fn describe_result(result: &CallResult) -> String {
-    match result {
-        Ok((status, _)) => format!("status {status}"),
-        Err(e) => format!("{e:?}"),
-    }
-}
--- a/crates/control/src/node/calls.rs
+++ b/crates/control/src/node/calls.rs
@@ -26,7 +26,7 @@
     ReadVersionRecords,
     StoreVersionRecord,
     FetchCatalog,
-    Leader(crate::leader::LeaderCall),
+    Leader(crate::calls::LeaderCall),
 }
 
 impl Node {
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -1,7 +1,10 @@
 //! One controller: what every node does (user requests, the copy of the jobs, relaying reports,
 //! standing for election) and, while it leads, the leader inside.
-use crate::api::{Action, CallError, CallResult, Event, Link, Millis, Now, Target};
+use crate::api::{
+    describe_result, Action, CallError, CallResult, Event, Link, Millis, Now, Target,
+};
 use crate::leader::Leader;
+use crate::outbox::Outbox;
 use crate::pause::PauseDetector;
 use crate::records::{
     self, JobEnd, JobRecord, LeaderRecord, RelayedHeartbeatsRecord, ReplicatedRecord, StoredRecord,
@@ -29,7 +32,6 @@
 mod election;
 mod feasibility;
 mod feature_gate;
-mod outbox;
 mod peer;
 mod pending_request;
 mod relay;
@@ -40,10 +42,8 @@
 mod user_requests;
 mod via_store;
 
-pub(crate) use call_results::describe_result;
 use calls::NodeCall;
 pub use feasibility::check_feasibility;
-pub(crate) use outbox::Outbox;
 use peer::Peer;
 use pending_request::{PendingRequest, UserRequest};
 use replica_sync::ReplicaSync;
@@ -288,7 +288,7 @@
     }
 
     /// Lets the leader act, if there is one, on its own calls and our budgets.
-    fn with_leader(&mut self, f: impl FnOnce(&mut Leader, &mut crate::leader::LeaderContext)) {
+    fn with_leader(&mut self, f: impl FnOnce(&mut Leader, &mut crate::context::LeaderContext)) {
         let Some(mut leader) = self.leader.take() else {
             return;
         };
@@ -298,7 +298,7 @@
             && self
                 .resigned_at
                 .is_none_or(|at| self.now.monotonic_ms > at + RESIGNATION_INTERVAL_MS);
-        let mut context = crate::leader::LeaderContext {
+        let mut context = crate::context::LeaderContext {
             may_resign,
             watermark_current: self.watermark_current(),
             leadership_confirmed: self.has_synced_since_pause(),
--- a/crates/control/src/node/outbox.rs
+++ b/crates/control/src/outbox.rs
@@ -42,7 +42,7 @@
     }
 
     /// Answers a request with an error and its reason.
-    pub(super) fn reply_error(&mut self, id: u64, status: u16, retry: Option<u32>, why: &str) {
+    pub fn reply_error(&mut self, id: u64, status: u16, retry: Option<u32>, why: &str) {
         self.reply(id, status, retry, &ErrorBody { error: why.into() });
     }
 }
--- a/crates/control/src/preemption.rs
+++ b/crates/control/src/preemption.rs
@@ -2,7 +2,8 @@
 //! what others borrow.
 use crate::api::Millis;
 use crate::cluster::{JobState, Lifecycle, Machine, Phase, Placement};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use crate::resources::Resources;
 use std::collections::HashMap;
 use stonegw_constants::{
--- a/crates/control/src/scheduler/deadline_placement.rs
+++ b/crates/control/src/scheduler/deadline_placement.rs
@@ -2,7 +2,9 @@
 use super::machine_queues::{MachineQueue, OnTimeAverage};
 use super::{image_fetch_s_per_gb, PlacementRank};
 use crate::cluster::Machine;
-use crate::leader::{is_immediate, zone_allows, Leader, LeaderContext};
+use crate::cluster::{is_immediate, zone_allows};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
 use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE};
--- a/crates/control/src/scheduler/first_fit.rs
+++ b/crates/control/src/scheduler/first_fit.rs
@@ -1,7 +1,9 @@
 //! First fit: urgent work at once, and leftover room for work without a deadline, late or dropped.
 use super::PlacementRank;
+use crate::cluster::is_immediate;
 use crate::cluster::{JobState, Machine};
-use crate::leader::{is_immediate, Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use stonegw_constants::URGENT_RESERVATION_WAIT_MS;
 use stonegw_wire::msg::JobSpec;
 
--- a/crates/control/src/scheduler/machine_queues.rs
+++ b/crates/control/src/scheduler/machine_queues.rs
@@ -2,7 +2,8 @@
 use super::Scheduler;
 use crate::api::Now;
 use crate::cluster::{JobState, Lifecycle, Machine};
-use crate::leader::{Leader, LeaderContext};
+use crate::context::LeaderContext;
+use crate::leader::Leader;
 use std::collections::BTreeMap;
 use stonegw_constants::MAX_QUEUED_TASKS_PER_MACHINE;
 use stonegw_sched::placement_estimate::{EstimatedStart, ExpectedRelease, QueueForecast};
--- a/crates/control/src/scheduler/mod.rs
+++ b/crates/control/src/scheduler/mod.rs
@@ -4,9 +4,11 @@
 //! on. Everything else fills leftover room first fit.
 use crate::aging::AgingReservation;
 use crate::api::Millis;
+use crate::cluster::zone_allows;
 use crate::cluster::{JobState, Lifecycle, Machine, Phase};
+use crate::context::LeaderContext;
 use crate::gang::GangReservation;
-use crate::leader::{zone_allows, Leader, LeaderContext};
+use crate::leader::Leader;
 use crate::preemption::PreemptionPlan;
 use crate::records::ObservedRunTimes;
 use crate::resources::Resources;
