--- a/crates/control/src/autoscaler/call_results.rs
+++ b/crates/control/src/autoscaler/call_results.rs
@@ -1,12 +1,12 @@
 //! Answers of the cloud: each goes to the part of the fleet that asked.
+use super::AutoscalerTurn;
 use crate::api::describe_result;
 use crate::api::{CallResult, Millis};
 use crate::calls::AutoscalerCall;
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use stonegw_constants::{CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS};
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// A call to the cloud was answered, or no answer came.
     pub fn cloud_call_done(
         &mut self,
@@ -31,14 +31,14 @@
         match result {
             Ok((200, _)) => {
                 for id in ids {
-                    self.handle_machine_deleted(now, &id);
+                    self.cluster.handle_machine_deleted(now, &id);
                 }
-                self.scheduling_needed = true;
+                self.cluster.scheduling_needed = true;
             }
             other => {
                 log::warn!("delete: {}", describe_result(&other));
                 for id in ids {
-                    if let Some(mut m) = self.machines.edit(&id) {
+                    if let Some(mut m) = self.cluster.machines.edit(&id) {
                         m.last_delete_sent_at = now.saturating_sub(CLOUD_TIMEOUT_MS);
                     }
                 }
--- a/crates/control/src/autoscaler/catalog.rs
+++ b/crates/control/src/autoscaler/catalog.rs
@@ -1,12 +1,12 @@
 //! The cloud's catalogue of machine types: read from time to time, since prices change.
+use super::AutoscalerTurn;
 use crate::api::{CallResult, Millis};
 use crate::calls::AutoscalerCall;
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use stonegw_constants::{CATALOG_READ_INTERVAL_MS, CLOUD_RETRY_BACKOFF_MS};
 use stonegw_wire::msg::{decode, Catalog};
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Reads the catalogue when it is time.
     pub(super) fn request_catalog(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
@@ -26,7 +26,7 @@
         if let Ok((200, body)) = result {
             match decode::<Catalog>(&body) {
                 Ok(catalog) => {
-                    self.catalog = catalog;
+                    self.cluster.catalog = catalog;
                     self.autoscaler.next_catalog_at = now + CATALOG_READ_INTERVAL_MS;
                 }
                 Err(e) => log::warn!("catalogue not understood: {e}"),
--- a/crates/control/src/autoscaler/deadline_sizing.rs
+++ b/crates/control/src/autoscaler/deadline_sizing.rs
@@ -3,11 +3,11 @@
 use super::capacity::MachineCapacity;
 use super::demand::DeadlineDemand;
 use super::sizing::SizingPlan;
+use super::AutoscalerTurn;
 use super::DeadlineArrival;
 use crate::api::Millis;
 use crate::cluster::Lifecycle;
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use crate::resources::Resources;
 use stonegw_constants::{ARRIVAL_RATE_FRACTION_LATE, ARRIVAL_RATE_WINDOW_MS};
 use stonegw_wire::msg::JobSpec;
@@ -39,26 +39,7 @@
     free.cpus.min(usable).max(0.0)
 }
 
-impl Leader {
-    /// Work with a deadline came, so long ago.
-    pub fn record_deadline_arrival(&mut self, now: Millis, age_ms: u64, spec: &JobSpec) {
-        let run_s = self.scheduler.mean_run_s(spec);
-        let cpu_seconds = f64::from(spec.task_count) * spec.cpus * run_s;
-        let at = now.saturating_sub(age_ms);
-        self.autoscaler
-            .deadline_arrivals
-            .retain(|a| now <= a.arrived_at + ARRIVAL_RATE_WINDOW_MS);
-        if age_ms < ARRIVAL_RATE_WINDOW_MS {
-            self.autoscaler
-                .deadline_arrivals
-                .push_back(DeadlineArrival {
-                    arrived_at: at,
-                    cpu_seconds,
-                    run_s,
-                });
-        }
-    }
-
+impl AutoscalerTurn<'_> {
     /// CPUs that work with deadlines would keep busy if it kept coming as it did of late: only
     /// what goes before tasks that run so long, since what finishes soonest goes first.
     fn deadline_arrival_rate(&self, now: Millis, run_s: f64) -> f64 {
@@ -135,13 +116,14 @@
     /// that waits for memory without machines until it is late.
     fn deadline_cpu_supplies(&self, rooms: &[MachineCapacity], usual: &JobSpec) -> Vec<CpuSupply> {
         let used: f64 = self
+            .cluster
             .machines
             .values()
             .filter(|m| matches!(m.lifecycle, Lifecycle::Ready))
             .flat_map(|m| &m.placements)
             .filter(|p| p.is_present())
             .filter(|p| {
-                let work = self.jobs.get(&p.job);
+                let work = self.cluster.jobs.get(&p.job);
                 work.is_some_and(|w| w.spec.deadline_s.is_some())
             })
             .map(|p| p.cpus)
@@ -160,11 +142,11 @@
     /// CPU-seconds that running deadline tasks still need, about: half a run each.
     fn running_deadline_cpu_seconds(&mut self) -> f64 {
         let mut sum = 0.0;
-        for (id, work) in &self.jobs {
-            let present = self.machines.present_tasks(id).count();
+        for (id, work) in &self.cluster.jobs {
+            let present = self.cluster.machines.present_tasks(id).count();
             if work.spec.deadline_s.is_some() && present > 0 {
                 sum +=
-                    present as f64 * work.spec.cpus * self.scheduler.mean_run_s(&work.spec) * 0.5;
+                    present as f64 * work.spec.cpus * self.estimates.mean_run_s(&work.spec) * 0.5;
             }
         }
         sum
--- a/crates/control/src/autoscaler/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -1,8 +1,8 @@
 //! Demand: the tasks that machines may be rented for, from the work at hand.
 use super::capacity::{is_placement_allowed, slots_in, MachineCapacity};
+use super::AutoscalerTurn;
 use crate::cluster::{JobState, Lifecycle, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::cmp::Reverse;
 use stonegw_constants::{DEADLINE_RUN_TIME_MULTIPLE, LATE_RUN_TIME_MULTIPLE};
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
@@ -33,7 +33,7 @@
     pub(super) deadline_constrained: Vec<DeadlineDemand>,
 }
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// What the work at hand wants. `lasting`: the room that comes free in the end.
     pub(super) fn collect_demand(
         &mut self,
@@ -44,7 +44,7 @@
     ) -> Demand {
         let mut undated = vec![];
         let mut dated = vec![];
-        for (id, work) in &self.jobs {
+        for (id, work) in &self.cluster.jobs {
             let spec = &work.spec;
             if spec.kind == JobKind::Service && spec.priority >= Priority::High {
                 self.autoscaler.reference_task = Some(spec.clone());
@@ -58,7 +58,7 @@
                 continue;
             }
             if let Some(due_s) = work.seconds_to_deadline(context.now.wall_ms) {
-                let run_s = self.scheduler.mean_run_s(spec).max(1.0);
+                let run_s = self.estimates.mean_run_s(spec).max(1.0);
                 let target = reachable_target(context, work, due_s, run_s, boot_s);
                 dated.push(DeadlineDemand {
                     due_s: target.due_s,
@@ -87,7 +87,7 @@
         id: &str,
         work: &JobState,
     ) -> Option<usize> {
-        let waiting = work.pending_tasks.len() + self.machines.queued_count(id);
+        let waiting = work.pending_tasks.len() + self.cluster.machines.queued_count(id);
         if waiting == 0 || work.end_write_in_flight || work.failures.job_is_broken() {
             return None;
         }
@@ -95,14 +95,14 @@
         let Some(team) = context.settings.team(&spec.team) else {
             return Some(waiting);
         };
-        let used = self.machines.team_usage(&spec.team).0;
+        let used = self.cluster.machines.team_usage(&spec.team).0;
         Some(waiting.min(((team.limit_cpus - used).max(0.0) / spec.cpus.max(0.01)) as usize))
     }
 
     /// All the CPUs at hand are of no use to a task that no single machine will have room for.
     fn fits_no_machine(&self, id: &str, spec: &JobSpec, lasting: &[MachineCapacity]) -> bool {
         let ever = |room: &MachineCapacity| room.can_host(spec);
-        self.machines.present_tasks(id).next().is_none() && !lasting.iter().any(ever)
+        self.cluster.machines.present_tasks(id).next().is_none() && !lasting.iter().any(ever)
     }
 
     /// Gangs that wait and their tasks. One that needs a single zone gets all its room in the zone
@@ -113,11 +113,11 @@
         rooms: &[MachineCapacity],
     ) -> Vec<DeadlineFreeDemand> {
         let mut wanted = vec![];
-        for job in self.waiting_gangs(context) {
-            let Some(work) = self.jobs.get(&job) else {
+        for job in self.cluster.waiting_gangs(context) {
+            let Some(work) = self.cluster.jobs.get(&job) else {
                 continue;
             };
-            if work.failures.job_is_broken() || !self.gang_within_limit(context, work) {
+            if work.failures.job_is_broken() || !self.cluster.gang_within_limit(context, work) {
                 continue;
             }
             let mut spec = work.spec.clone();
@@ -134,6 +134,7 @@
     fn unusable_slots(&self, work: &JobState, spec: &JobSpec) -> u32 {
         let useless = |m: &&Machine| work.failures.avoids(&m.id) || !m.is_trusted();
         let machines = self
+            .cluster
             .machines
             .values()
             .filter(|m| m.lifecycle == Lifecycle::Ready);
@@ -141,13 +142,18 @@
         let suits = |m: &&Machine| is_placement_allowed(spec, &m.machine_type, &m.zone, m.spot);
         machines
             .filter(suits)
-            .filter_map(|m| Some(slots_in(&self.free_resources(m)?, spec)))
+            .filter_map(|m| Some(slots_in(&self.cluster.free_resources(m)?, spec)))
             .sum()
     }
 
     /// The zone with most room for the gang's tasks.
     fn zone_with_most_capacity(&self, spec: &JobSpec, rooms: &[MachineCapacity]) -> Option<String> {
-        let zones = self.catalog.machine_types.iter().flat_map(|t| &t.zones);
+        let zones = self
+            .cluster
+            .catalog
+            .machine_types
+            .iter()
+            .flat_map(|t| &t.zones);
         let slots_in = |zone: &String| -> u32 {
             rooms
                 .iter()
--- a/crates/control/src/autoscaler/gang_headroom.rs
+++ b/crates/control/src/autoscaler/gang_headroom.rs
@@ -1,10 +1,9 @@
 //! Room that is kept for gangs to come: the largest gang of late, in the zone with most room.
 use super::capacity::{is_placement_allowed, slots_in, slots_on_empty_machine};
+use super::AutoscalerTurn;
 use super::GangArrival;
-use crate::api::Millis;
 use crate::cluster::Machine;
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::collections::HashMap;
 use stonegw_constants::URGENT_ARRIVAL_WINDOW_MS;
 use stonegw_wire::msg::{JobSpec, MachineType};
@@ -35,7 +34,7 @@
     }
 }
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Room for the largest gang of late, in the zone that has most. A gang that has to wait for a
     /// boot is late; one that finds a zone with room for it is not.
     pub(super) fn gang_headroom(&self, context: &LeaderContext) -> Option<GangHeadroom> {
@@ -50,11 +49,11 @@
         let cpus = |spec: &&JobSpec| f64::from(spec.task_count) * spec.cpus;
         let spec = gangs.max_by(|a, b| cpus(a).total_cmp(&cpus(b)))?.clone();
         let mut zones: HashMap<&str, u32> = HashMap::new();
-        for id in self.machines_with_capacity(context) {
-            let Some(m) = self.machines.get(&id) else {
+        for id in self.cluster.machines_with_capacity(context) {
+            let Some(m) = self.cluster.machines.get(&id) else {
                 continue;
             };
-            let Some(free) = self.free_resources(m) else {
+            let Some(free) = self.cluster.free_resources(m) else {
                 continue;
             };
             if is_placement_allowed(&spec, &m.machine_type, &m.zone, m.spot) {
@@ -69,14 +68,4 @@
             free_slots: spare,
         })
     }
-
-    /// A gang arrived.
-    pub fn record_gang_arrival(&mut self, now: Millis, spec: &JobSpec) {
-        let gangs = &mut self.autoscaler.gang_arrivals;
-        gangs.retain(|a| now <= a.arrived_at + URGENT_ARRIVAL_WINDOW_MS);
-        gangs.push(GangArrival {
-            arrived_at: now,
-            spec: spec.clone(),
-        });
-    }
 }
--- a/crates/control/src/autoscaler/headroom.rs
+++ b/crates/control/src/autoscaler/headroom.rs
@@ -1,20 +1,19 @@
 //! Spare room for urgent services: how much there is, and how much is kept.
 use super::capacity::slots_on_empty_machine;
-use crate::api::Millis;
+use super::AutoscalerTurn;
 use crate::cluster::{Lifecycle, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use crate::resources::Resources;
 use stonegw_constants::{HEADROOM_BOOT_LATE_MULTIPLE, RESOURCE_EPSILON, URGENT_ARRIVAL_WINDOW_MS};
 use stonegw_wire::msg::{JobSpec, MachineType};
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Slots to keep for urgent tasks: a few, and the spread of what arrives during a boot.
     pub(super) fn wanted_headroom_slots(&self, context: &LeaderContext) -> f64 {
         let Some(spec) = &self.autoscaler.reference_task else {
             return 0.0;
         };
-        let types = self.catalog.machine_types.iter();
+        let types = self.cluster.catalog.machine_types.iter();
         let suitable = types.filter(|t| slots_on_empty_machine(t, spec) > 0);
         let boot = suitable.map(|t| t.boot_s).fold(0.0, f64::max);
         let span = context
@@ -34,25 +33,6 @@
         context.settings.tuning.headroom_tasks + growth * boot + (rate * boot).sqrt()
     }
 
-    /// An urgent service ended.
-    pub fn record_urgent_departure(&mut self, now: Millis) {
-        self.autoscaler.urgent_departures.push_back(now);
-    }
-
-    /// An urgent service arrived.
-    pub fn record_urgent_arrival(&mut self, now: Millis) {
-        self.autoscaler.urgent_arrivals.push_back(now);
-        let old = |at: &Millis| now > at + URGENT_ARRIVAL_WINDOW_MS;
-        for times in [
-            &mut self.autoscaler.urgent_departures,
-            &mut self.autoscaler.urgent_arrivals,
-        ] {
-            while times.front().is_some_and(old) {
-                times.pop_front();
-            }
-        }
-    }
-
     /// How many usual urgent tasks could run beside those that do, pushing lesser work aside.
     /// `coming`: on machines that boot, too.
     pub(super) fn headroom_slots(&self, context: &LeaderContext, coming: bool) -> f64 {
@@ -60,11 +40,11 @@
             return 0.0;
         };
         let mut sum = 0.0;
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             if m.spot || !self.counts_as_headroom(context, m, coming) {
                 continue;
             }
-            let Some(machine_type) = self.machine_type(&m.machine_type) else {
+            let Some(machine_type) = self.cluster.machine_type(&m.machine_type) else {
                 continue;
             };
             sum += self.urgent_slots_on(m, machine_type, spec);
@@ -75,7 +55,10 @@
     /// Room on a silent machine, or on one whose boot is overdue, is no room.
     fn counts_as_headroom(&self, context: &LeaderContext, m: &Machine, coming: bool) -> bool {
         let now = context.now.monotonic_ms;
-        let boot = self.machine_type(&m.machine_type).map_or(0.0, |t| t.boot_s);
+        let boot = self
+            .cluster
+            .machine_type(&m.machine_type)
+            .map_or(0.0, |t| t.boot_s);
         let age = now.saturating_sub(m.provisioned_at) as f64 / 1e3;
         match m.lifecycle {
             Lifecycle::Ready => {
@@ -91,6 +74,7 @@
         let mut free = Resources::of_type(machine_type);
         for p in m.placements.iter().filter(|p| p.is_present()) {
             let lesser = self
+                .cluster
                 .jobs
                 .get(&p.job)
                 .is_some_and(|w| w.spec.priority < spec.priority);
--- a/crates/control/src/autoscaler/machine_list.rs
+++ b/crates/control/src/autoscaler/machine_list.rs
@@ -1,15 +1,15 @@
 //! The cloud's list of machines: read page by page, then taken in.
+use super::AutoscalerTurn;
 use crate::api::describe_result;
 use crate::api::{CallResult, Millis};
 use crate::calls::AutoscalerCall;
 use crate::cluster::{Lifecycle, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::collections::HashSet;
 use stonegw_constants::MACHINE_LIST_INTERVAL_MS;
 use stonegw_wire::msg::{decode, ListedMachine, MachineListPage, MachineState};
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Reads the list's next page when it is time.
     pub(super) fn request_machine_list(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
@@ -57,7 +57,11 @@
         let mut present = HashSet::new();
         for listed in list {
             present.insert(listed.machine_id.clone());
-            if !self.deleted_machines.contains_key(&listed.machine_id) {
+            if !self
+                .cluster
+                .deleted_machines
+                .contains_key(&listed.machine_id)
+            {
                 self.apply_listed_machine(now, listed);
             }
         }
@@ -67,14 +71,14 @@
     /// Takes in what the list tells of one machine.
     fn apply_listed_machine(&mut self, now: Millis, listed: ListedMachine) {
         let age = (listed.age_s.clamp(0.0, 1e9) * 1e3) as u64;
-        self.machines.add(&listed.machine_id, || {
+        self.cluster.machines.add(&listed.machine_id, || {
             log::info!("machine {} found in the list", listed.machine_id);
             let (id, machine_type) = (&listed.machine_id, &listed.machine_type);
             let mut m = Machine::new(id, machine_type, &listed.zone, listed.is_spot, now);
             m.provisioned_at = now.saturating_sub(age);
             m
         });
-        let Some(mut m) = self.machines.edit(&listed.machine_id) else {
+        let Some(mut m) = self.cluster.machines.edit(&listed.machine_id) else {
             return;
         };
         m.was_listed = true;
@@ -93,7 +97,7 @@
     fn count_absent_listings(&mut self, context: &LeaderContext, present: &HashSet<String>) {
         let now = context.now.monotonic_ms;
         let lag = (context.settings.cloud_listing_lag_s * 2.0 * 1e3) as u64;
-        self.machines.edit_all(|m| {
+        self.cluster.machines.edit_all(|m| {
             if !present.contains(&m.id) && m.was_listed && now > m.known_since + lag {
                 m.absent_listings += 1;
                 if m.absent_listings >= 2
--- a/crates/control/src/autoscaler/mod.rs
+++ b/crates/control/src/autoscaler/mod.rs
@@ -2,14 +2,16 @@
 //! at hand, the live catalogue and the refusals observed; names of requests carry the term and
 //! are never reused.
 use crate::api::Millis;
+use crate::cluster::ClusterState;
 use crate::context::LeaderContext;
-use crate::leader::{Leader, Stage};
 use crate::pause::Pause;
+use crate::scheduling::estimates::RunTimeEstimates;
 use crate::settings::TokenBucket;
 use std::collections::{HashMap, VecDeque};
 use stonegw_constants::{AUTOSCALER_INTERVAL_MS, CATALOG_READ_INTERVAL_MS};
 use stonegw_wire::msg::{JobSpec, ListedMachine, ProvisionRequest};
 
+mod arrivals;
 mod call_results;
 mod capacity;
 mod catalog;
@@ -152,15 +154,28 @@
     }
 }
 
-impl Leader {
+/// One turn of the autoscaler: its own state and what it works on.
+pub struct AutoscalerTurn<'a> {
+    pub autoscaler: &'a mut Autoscaler,
+    pub cluster: &'a mut ClusterState,
+    pub estimates: &'a mut RunTimeEstimates,
+    /// The leader has heard the workers and places tasks.
+    pub is_active: bool,
+    /// No earlier leader stored a placement.
+    pub is_first_leader: bool,
+    /// When the leader's term began.
+    pub term_began_at: Millis,
+}
+
+impl AutoscalerTurn<'_> {
     /// Decides on the fleet's size when it is time, and makes the calls that are due.
-    pub fn run_autoscaler(&mut self, context: &mut LeaderContext) {
+    pub fn run(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
         if self.autoscaler.call_budget.is_none() {
             let rps = context.settings.cloud_requests_per_s;
             self.autoscaler.call_budget = Some(TokenBucket::new(rps * 0.8, (rps * 1.6).max(1.0)));
         }
-        let active = self.stage == Stage::Active;
+        let active = self.is_active;
         // A leader without predecessors need not hear the machines to know that more are wanted:
         // a list tells of them, and every second of the first boots counts.
         if now >= self.autoscaler.next_sizing_at
--- a/crates/control/src/autoscaler/provision.rs
+++ b/crates/control/src/autoscaler/provision.rs
@@ -1,11 +1,11 @@
 //! Renting: rentals are queued, sent one at a time, and repeated until they are answered.
+use super::AutoscalerTurn;
 use super::{MachineOffer, OfferBackoff, PendingProvision, ProvisionState};
 use crate::api::describe_result;
 use crate::api::{CallError, CallResult, Millis};
 use crate::calls::AutoscalerCall;
 use crate::cluster::Machine;
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::collections::BTreeMap;
 use stonegw_constants::{
     CLOUD_RETRY_BACKOFF_MS, MAX_MACHINES_PER_PROVISION, PROVISION_BACKOFF_MAX_MS,
@@ -13,7 +13,7 @@
 };
 use stonegw_wire::msg::{decode, encode, ErrorBody, MachineIds, ProvisionRequest};
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Queues the rentals in the order of their offers, in requests of limited size: a trace plays the
     /// same each time.
     pub(super) fn queue_provisions(&mut self, now: Millis, rentals: BTreeMap<MachineOffer, u32>) {
@@ -128,8 +128,8 @@
             self.autoscaler.offer_backoffs.remove(&offer);
         }
         for id in answer.machine_ids {
-            if !self.deleted_machines.contains_key(&id) {
-                self.machines.add(&id, || {
+            if !self.cluster.deleted_machines.contains_key(&id) {
+                self.cluster.machines.add(&id, || {
                     Machine::new(&id, &offer.machine_type, &offer.zone, offer.spot, now)
                 });
             }
--- a/crates/control/src/autoscaler/scale_in.rs
+++ b/crates/control/src/autoscaler/scale_in.rs
@@ -2,11 +2,11 @@
 //! for.
 use super::capacity::slots_on_empty_machine;
 use super::gang_headroom::GangHeadroom;
+use super::AutoscalerTurn;
 use crate::api::Millis;
 use crate::calls::AutoscalerCall;
 use crate::cluster::{Lifecycle, Machine, Phase};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use stonegw_constants::{
     BOOT_TIMEOUT_MULTIPLE, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MAX_MACHINES_PER_DELETE,
 };
@@ -107,7 +107,7 @@
     }
 }
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Marks for deletion the machines that are idle or never came up.
     pub(super) fn scale_in_idle(&mut self, context: &LeaderContext) {
         let mut returning = ScaleInReview {
@@ -115,12 +115,14 @@
             headroom_slots: self.headroom_slots(context, false),
             wanted_headroom_slots: self.wanted_headroom_slots(context),
             reference_task: self.autoscaler.reference_task.clone(),
-            machine_types: self.catalog.machine_types.clone(),
+            machine_types: self.cluster.catalog.machine_types.clone(),
             idle_boots: context.settings.tuning.idle_retention_boots,
             silence_limit_ms: (context.settings.worker_lease_s * 3e3) as u64,
             gang_headroom: self.gang_headroom(context),
         };
-        self.machines.edit_all(|m| returning.review_machine(m));
+        self.cluster
+            .machines
+            .edit_all(|m| returning.review_machine(m));
     }
 
     /// Asks the cloud to delete the machines marked for it, again where no answer came.
@@ -128,6 +130,7 @@
         let now = context.now.monotonic_ms;
         let again = CLOUD_TIMEOUT_MS + CLOUD_RETRY_BACKOFF_MS;
         let ids: Vec<String> = self
+            .cluster
             .machines
             .terminating()
             .filter(|m| m.last_delete_sent_at == 0 || now >= m.last_delete_sent_at + again)
@@ -138,7 +141,7 @@
             return;
         }
         for id in &ids {
-            if let Some(mut m) = self.machines.edit(id) {
+            if let Some(mut m) = self.cluster.machines.edit(id) {
                 m.last_delete_sent_at = now;
             }
         }
--- a/crates/control/src/autoscaler/sizing.rs
+++ b/crates/control/src/autoscaler/sizing.rs
@@ -1,11 +1,11 @@
 //! Sizing: which machines to rent for the work at hand, urgent work first.
 use super::capacity::{is_placement_allowed, slots_in, slots_on_empty_machine, MachineCapacity};
 use super::demand::{DeadlineFreeDemand, Demand};
+use super::AutoscalerTurn;
 use super::MachineOffer;
 use crate::api::Millis;
 use crate::cluster::{Lifecycle, Machine};
 use crate::context::LeaderContext;
-use crate::leader::{Leader, Stage};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, HashMap};
 use stonegw_constants::{BOOT_LATE_MULTIPLE, SCALE_OUT_STEP_DIVISOR, SCALE_OUT_STEP_MIN};
@@ -39,7 +39,7 @@
     offer: MachineOffer,
 }
 
-impl Leader {
+impl AutoscalerTurn<'_> {
     /// Decides which machines to rent, and queues the rentals.
     pub(super) fn decide_size(&mut self, context: &LeaderContext) {
         let AvailableCapacity {
@@ -70,8 +70,8 @@
     fn available_capacity(&self, context: &LeaderContext) -> AvailableCapacity {
         let mut rooms: Vec<MachineCapacity> = vec![];
         let mut lasting: Vec<MachineCapacity> = vec![];
-        for m in self.machines.values() {
-            let Some(machine_type) = self.machine_type(&m.machine_type) else {
+        for m in self.cluster.machines.values() {
+            let Some(machine_type) = self.cluster.machine_type(&m.machine_type) else {
                 continue;
             };
             let Some(eta_s) = self.ready_in_s(context, m, machine_type) else {
@@ -84,8 +84,8 @@
                 spot: m.spot,
                 free,
             };
-            rooms.extend(self.free_resources(m).map(room));
-            let (cpus, gpus, memory_gb) = self.urgent_usage(m);
+            rooms.extend(self.cluster.free_resources(m).map(room));
+            let (cpus, gpus, memory_gb) = self.cluster.urgent_usage(m);
             let staying = Resources {
                 cpus,
                 gpus,
@@ -95,7 +95,7 @@
         }
         for renting in &self.autoscaler.pending_provisions {
             let hire = &renting.request;
-            if let Some(machine_type) = self.machine_type(&hire.machine_type) {
+            if let Some(machine_type) = self.cluster.machine_type(&hire.machine_type) {
                 for _ in 0..hire.count {
                     rooms.push(MachineCapacity {
                         ready_in_s: machine_type.boot_s,
@@ -124,9 +124,8 @@
         let boot_s = machine_type.boot_s;
         let age = now.saturating_sub(m.provisioned_at) as f64 / 1e3;
         // Before the first reports, the list's word is good enough.
-        let unheard = self.stage != Stage::Active
-            && m.listed_as_running
-            && m.lifecycle == Lifecycle::Provisioning;
+        let unheard =
+            !self.is_active && m.listed_as_running && m.lifecycle == Lifecycle::Provisioning;
         if m.lifecycle == Lifecycle::Ready
             && !m.is_silent(now, context.settings.heartbeat_interval_s)
             || unheard
@@ -139,14 +138,14 @@
 
     fn machines_by_zone(&self) -> HashMap<String, usize> {
         let mut zones: HashMap<String, usize> = HashMap::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             *zones.entry(m.zone.clone()).or_default() += 1;
         }
         zones
     }
 
     fn shortest_boot_s(&self) -> f64 {
-        let boots = self.catalog.machine_types.iter().map(|t| t.boot_s);
+        let boots = self.cluster.catalog.machine_types.iter().map(|t| t.boot_s);
         boots.fold(f64::MAX, f64::min)
     }
 
@@ -167,7 +166,7 @@
             .filter(|r| !r.request.is_spot);
         let renting: f64 = ordinary
             .filter_map(|r| {
-                let machine_type = self.machine_type(&r.request.machine_type)?;
+                let machine_type = self.cluster.machine_type(&r.request.machine_type)?;
                 Some(slots_on_empty_machine(machine_type, spec) * r.request.count)
             })
             .map(f64::from)
@@ -227,7 +226,7 @@
         tasks: u32,
     ) -> Option<ProvisionChoice<'_>> {
         let mut best: Option<ProvisionChoice> = None;
-        for machine_type in &self.catalog.machine_types {
+        for machine_type in &self.cluster.catalog.machine_types {
             let each = slots_on_empty_machine(machine_type, spec).min(tasks);
             if each == 0 {
                 continue;
@@ -265,7 +264,8 @@
     /// rent too many of it yet.
     fn may_provision(&self, plan: &SizingPlan, offer: &MachineOffer, spec: &JobSpec) -> bool {
         // A wrong estimate must stay cheap, for the fleet's size.
-        let step = SCALE_OUT_STEP_MIN.max(self.machines.len() as u32 / SCALE_OUT_STEP_DIVISOR);
+        let step =
+            SCALE_OUT_STEP_MIN.max(self.cluster.machines.len() as u32 / SCALE_OUT_STEP_DIVISOR);
         let refusal = self.autoscaler.offer_backoffs.get(offer);
         let waits = refusal.is_some_and(|r| plan.now < r.retry_at);
         let full = plan.provisions.get(offer).copied().unwrap_or(0) >= step;
--- a/crates/control/src/cluster/job_state.rs
+++ b/crates/control/src/cluster/job_state.rs
@@ -1,7 +1,6 @@
 //! A job's work: its waiting and finished tasks, failures and deadline.
-use super::{Failures, ResultChunk};
-use crate::api::Millis;
-use crate::gang::Gang;
+use super::{Failures, Gang, GangState, ResultChunk};
+use crate::api::{Millis, Now};
 use crate::records::Bitmap;
 use std::collections::{BTreeMap, BTreeSet};
 use stonegw_constants::START_BACKOFF_MAX_MS;
@@ -130,4 +129,19 @@
             .filter(|n| self.pending_tasks.contains(n));
         dropped.next().copied()
     }
+
+    /// Whether it is a gang that can be placed, as far as its tasks are concerned.
+    pub(crate) fn is_gang_waiting(&self) -> bool {
+        let waiting = |g: &Gang| g.state == GangState::Waiting;
+        !self.end_write_in_flight
+            && self.done_count < self.spec.task_count
+            && self.gang.as_ref().is_some_and(waiting)
+    }
+
+    /// How long a waiting gang has waited.
+    pub(crate) fn gang_waited_ms(&self, now: Now) -> Millis {
+        let ended_at = self.gang.as_ref().and_then(|g| g.last_attempt_ended_at);
+        let age = now.wall_ms.saturating_sub(self.submitted_at_ms);
+        ended_at.map_or(age, |at| now.monotonic_ms.saturating_sub(at))
+    }
 }
--- a/crates/control/src/leader/machine_group_split.rs
+++ b/crates/control/src/cluster/machine_group_split.rs
@@ -3,9 +3,11 @@
 //!
 //! Their machines move to new records. The old record stays as it is until all of these are stored,
 //! so that every placement stands in some record at any moment; between, it stands in two.
-use super::machine_group_records::machine_group_record;
-use super::*;
+use super::{machine_group_record, ClusterState, MachineGroup, Machines, Phase, StoredState};
+use crate::api::Millis;
+use std::collections::BTreeSet;
 use stonegw_constants::MACHINE_GROUP_OVERHEAD_BYTES;
+use stonegw_wire::msg::json_size_bytes;
 
 /// How the machines of a record are divided.
 #[derive(Debug, Default, PartialEq)]
@@ -42,10 +44,10 @@
     parts
 }
 
-impl Leader {
+impl ClusterState {
     /// Takes over a lower limit for values. Records above it are due, for nothing more can be placed
     /// on their machines before.
-    pub(super) fn lower_max_value_bytes(&mut self, value_bytes: usize) {
+    pub(crate) fn lower_max_value_bytes(&mut self, value_bytes: usize) {
         if value_bytes >= self.max_value_bytes {
             return;
         }
@@ -56,7 +58,7 @@
     }
 
     /// Divides the records that are due and too large to be written.
-    pub(super) fn split_oversized_groups(&mut self) {
+    pub(crate) fn split_oversized_groups(&mut self) {
         let most = self.max_value_bytes;
         let large = |s: &MachineGroup| {
             s.needs_write()
@@ -132,7 +134,7 @@
     }
 
     /// The lowest number that no record has, stored or not.
-    pub(super) fn free_group_number(&self) -> u32 {
+    pub(crate) fn free_group_number(&self) -> u32 {
         let mut numbers = 0..;
         let free = numbers.find(|n| !self.machine_groups.contains_key(n));
         free.unwrap_or(u32::MAX)
@@ -158,7 +160,7 @@
     }
 
     /// A record was stored: those whose machines it took over need not wait for it any more.
-    pub(super) fn clear_stored_successor(&mut self, number: u32) {
+    pub(crate) fn clear_stored_successor(&mut self, number: u32) {
         for s in self.machine_groups.values_mut() {
             s.successors.remove(&number);
         }
@@ -167,7 +169,7 @@
     /// A machine stands in two stored records: a predecessor's process ended between the writes of a
     /// split. One of them, the smaller if one is too large, goes on to tell of it; the other is
     /// rewritten without it only after that one holds what both do.
-    pub(super) fn resolve_duplicate_machine(
+    pub(crate) fn resolve_duplicate_machine(
         &mut self,
         now: Millis,
         machine: &str,
@@ -201,7 +203,3 @@
         }
     }
 }
-
-#[cfg(test)]
-#[path = "machine_group_split_tests.rs"]
-mod tests;
--- a/crates/control/src/cluster/mod.rs
+++ b/crates/control/src/cluster/mod.rs
@@ -1,22 +1,35 @@
-//! What the leader holds about machines, the tasks that may be on them, and the jobs' work.
+//! The state of the cluster: machines, the tasks that may be on them, jobs, and the records that hold them.
+mod eligibility;
 mod failures;
+mod gang;
 mod job_state;
 mod machine;
+mod machine_group_record;
+mod machine_group_split;
+mod machine_removal;
 mod machines;
 mod pending_write;
 mod placement;
 mod placement_rules;
+mod queued_tasks;
 mod reported_phase;
+mod state;
 mod stored_state;
+mod task_placement;
 mod usage_totals;
 
+pub(crate) use eligibility::image_fetch_s_per_gb;
 pub use failures::Failures;
+pub use gang::{Gang, GangState};
 pub use job_state::JobState;
 pub use machine::{Lifecycle, Machine, Reachability};
+pub(crate) use machine_group_record::machine_group_record;
 pub use machines::{MachineGuard, Machines};
 pub(crate) use pending_write::pending_write_key;
 pub use pending_write::{PendingWrite, PlacementRef};
 pub use placement::{Phase, Placement};
 pub use placement_rules::{is_immediate, zone_allows};
 pub(crate) use reported_phase::{is_present_phase, reported_phase};
+pub use state::ClusterState;
+pub(crate) use state::TerminationEvidence;
 pub use stored_state::{MachineGroup, ResultChunk, StoredState};
--- a/crates/control/src/leader/placement.rs
+++ b/crates/control/src/cluster/task_placement.rs
@@ -1,11 +1,12 @@
 //! Putting tasks on machines and taking them back.
-use super::*;
+use super::{ClusterState, Machine, MachineGroup, Phase, Placement, StoredState};
+use std::collections::BTreeSet;
 use stonegw_constants::{
     MACHINE_GROUP_BYTES_PER_JOB, MACHINE_GROUP_BYTES_PER_MACHINE, MACHINE_GROUP_BYTES_PER_TASK,
     MACHINE_GROUP_MAX_MACHINES, MACHINE_GROUP_OVERHEAD_BYTES,
 };
 
-impl Leader {
+impl ClusterState {
     /// Puts a waiting task on a machine. Nothing goes out before it is stored. False: it waits
     /// on, for there is no room in the record.
     pub fn place_task(&mut self, machine: &str, job: &str, index: u32) -> bool {
@@ -99,7 +100,7 @@
         open.or_else(|| Some(self.free_group_number()))
     }
 
-    pub(super) fn assign_machine_group(
+    pub(crate) fn assign_machine_group(
         &mut self,
         machine: &str,
         job: &str,
@@ -151,35 +152,6 @@
             w.requeue(index);
         }
     }
-
-    /// Everything on the machine is proven gone.
-    pub(super) fn remove_terminated_placements(&mut self, id: &str, how: TerminationEvidence) {
-        let Some(mut m) = self.machines.edit(id) else {
-            return;
-        };
-        let mut gone = vec![];
-        m.placements.retain(|p| {
-            if let TerminationEvidence::NewIncarnation {
-                includes_inherited: inherited_too,
-            } = how
-            {
-                if p.is_unsent() || p.inherited && !inherited_too {
-                    return true;
-                }
-            }
-            // What it finished here counts only once stored; without the worker's word for it
-            // any more, it still was finished.
-            gone.push((p.job.clone(), p.index));
-            false
-        });
-        drop(m);
-        if !gone.is_empty() {
-            self.mark_group_stale(id);
-        }
-        for (job, index) in gone {
-            self.requeue_task(&job, index);
-        }
-    }
 }
 
 /// Bytes that a machine and its tasks, with one more of the job, take in a record at most.
--- a/crates/control/src/leader/commit.rs
+++ b/crates/control/src/leader/commit.rs
@@ -21,9 +21,13 @@
         if self.read_unacknowledged_revision(context) {
             return;
         }
-        if self.jobs_to_store.is_empty()
+        if self.cluster.jobs_to_store.is_empty()
             && self.garbage_records.is_empty()
-            && !self.machine_groups.values().any(MachineGroup::needs_write)
+            && !self
+                .cluster
+                .machine_groups
+                .values()
+                .any(MachineGroup::needs_write)
         {
             return;
         }
@@ -32,7 +36,7 @@
         if most == 0 {
             return;
         }
-        self.split_oversized_groups();
+        self.cluster.split_oversized_groups();
         let mut draft = TransactionBuilder::new(self.term, most);
         // Placements of urgent work are counted in seconds.
         self.add_machine_group_writes(&mut draft, |s| s.stored_state.dirty && s.is_urgent);
--- a/crates/control/src/leader/commit_results.rs
+++ b/crates/control/src/leader/commit_results.rs
@@ -13,11 +13,12 @@
             | PendingWrite::DeleteMachineGroup {
                 machine_group: shard,
             } => self
+                .cluster
                 .machine_groups
                 .get_mut(shard)
                 .map(|s| &mut s.stored_state),
             PendingWrite::ResultChunk { job, chunk, .. } => {
-                if let Some(w) = self.jobs.get_mut(job) {
+                if let Some(w) = self.cluster.jobs.get_mut(job) {
                     return w.result_chunks.get_mut(chunk).map(|c| &mut c.stored_state);
                 }
                 let key = result_chunk_key(job, *chunk);
@@ -41,10 +42,10 @@
     pub(super) fn revert_commit(&mut self, items: &[PendingWrite]) {
         for item in items {
             if let PendingWrite::JobEnd { job, .. } | PendingWrite::ResultChunk { job, .. } = item {
-                self.jobs_to_store.insert(job.clone());
+                self.cluster.jobs_to_store.insert(job.clone());
             }
             if let PendingWrite::JobEnd { job, .. } = item {
-                if let Some(w) = self.jobs.get_mut(job) {
+                if let Some(w) = self.cluster.jobs.get_mut(job) {
                     w.end_write_in_flight = false;
                 }
             } else if let Some(s) = self.stored_state_of(item) {
@@ -129,7 +130,7 @@
                 ..
             } = item
             {
-                if let Some(s) = self.machine_groups.get_mut(shard) {
+                if let Some(s) = self.cluster.machine_groups.get_mut(shard) {
                     s.dirty_since = now;
                     s.is_urgent = false;
                 }
@@ -174,7 +175,7 @@
                     machine_group: shard,
                     new_placements: new,
                 } => {
-                    self.clear_stored_successor(shard);
+                    self.cluster.clear_stored_successor(shard);
                     for on in new {
                         self.mark_placement_stored(&on);
                     }
@@ -184,11 +185,12 @@
                     machine_group: shard,
                 } => {
                     if self
+                        .cluster
                         .machine_groups
                         .get(&shard)
                         .is_some_and(|s| s.machines.is_empty())
                     {
-                        self.machine_groups.remove(&shard);
+                        self.cluster.machine_groups.remove(&shard);
                     }
                 }
                 PendingWrite::ResultChunk {
@@ -212,12 +214,14 @@
                         };
                         context.replica.put_job(&job, record, revision);
                     }
-                    if let Some(s) = self
-                        .jobs
-                        .get(&job)
-                        .and_then(|w| self.scheduler.observed_run_times(&w.spec))
+                    if let Some(s) =
+                        self.cluster.jobs.get(&job).and_then(|w| {
+                            self.scheduler.state.estimates.observed_run_times(&w.spec)
+                        })
                     {
                         self.scheduler
+                            .state
+                            .estimates
                             .record_estimate_ratio(&s.class, s.run_to_estimate_ratio);
                     }
                     log::info!("job {job} done");
@@ -240,8 +244,8 @@
 
     /// A single task may be started now; one of a gang waits for the gang's other placements.
     fn mark_placement_stored(&mut self, on: &PlacementRef) {
-        let works = &self.jobs;
-        let Some(mut m) = self.machines.edit(&on.0) else {
+        let works = &self.cluster.jobs;
+        let Some(mut m) = self.cluster.machines.edit(&on.0) else {
             return;
         };
         for p in m.placements.iter_mut() {
@@ -249,7 +253,7 @@
                 continue;
             }
             let in_gang = works.get(&p.job).is_some_and(|w| w.gang.is_some());
-            self.gangs_changed |= in_gang;
+            self.cluster.gangs_changed |= in_gang;
             p.set_phase(if in_gang {
                 Phase::Stored
             } else {
@@ -264,7 +268,7 @@
         (machine, attempt): &PlacementRef,
         change: impl Fn(&mut Placement),
     ) {
-        if let Some(mut m) = self.machines.edit(machine) {
+        if let Some(mut m) = self.cluster.machines.edit(machine) {
             let of_attempt = m.placements.iter_mut().filter(|p| p.attempt == *attempt);
             of_attempt.for_each(change);
         }
--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -13,7 +13,7 @@
         beat: bool,
     ) -> Vec<Command> {
         let now = context.now.monotonic_ms;
-        let Some(mut m) = self.machines.edit(id) else {
+        let Some(mut m) = self.cluster.machines.edit(id) else {
             return vec![];
         };
         let open = m.command_in_flight.is_some() || m.command_unanswered;
@@ -95,6 +95,7 @@
     pub(super) fn send_direct_commands(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
         let ids: Vec<String> = self
+            .cluster
             .machines
             .with_pending_commands()
             .filter(|m| {
@@ -116,7 +117,7 @@
             .collect();
         for id in ids {
             let commands = self.collect_commands(context, &id, false);
-            let Some(mut m) = self.machines.edit(&id) else {
+            let Some(mut m) = self.cluster.machines.edit(&id) else {
                 continue;
             };
             if commands.is_empty() {
@@ -155,7 +156,7 @@
         runs: Vec<u64>,
         r: CallResult,
     ) {
-        match self.machines.edit(id) {
+        match self.cluster.machines.edit(id) {
             Some(mut m) => m.command_in_flight = None,
             None => return,
         }
@@ -164,7 +165,7 @@
                 return;
             }
         }
-        let Some(mut m) = self.machines.edit(id) else {
+        let Some(mut m) = self.cluster.machines.edit(id) else {
             return;
         };
         log::debug!("direct command to {id}: {}", describe_result(&r));
--- a/crates/control/src/leader/fixture_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -224,7 +224,9 @@
             machine_types: vec![],
         };
         let mut leader = Leader::new(term, 1, self.now_ms, self.now_ms, catalog, &self.settings);
-        leader.lower_max_value_bytes(self.store_limits.max_value_bytes());
+        leader
+            .cluster
+            .lower_max_value_bytes(self.store_limits.max_value_bytes());
         for (key, (value, version)) in &self.store.records {
             if let StoredRecord::MachineGroup(record) = value {
                 let entry = Entry {
@@ -242,7 +244,7 @@
 
     pub fn submit(&mut self, leader: &mut Leader, id: &str, tasks: u32) {
         let work = JobState::new(job_spec(id, tasks), 0);
-        leader.jobs.insert(id.into(), work);
+        leader.cluster.jobs.insert(id.into(), work);
     }
 
     /// What a whole turn of the leader sends, by its paths. `proven`: see [`Ctx`].
@@ -273,8 +275,10 @@
         self.now_ms += 100;
         let mut calls = vec![];
         let mut context = context!(self, true, calls);
-        leader.now_ms = context.now.monotonic_ms;
-        leader.lower_max_value_bytes(context.store_limits.max_value_bytes());
+        leader.cluster.now_ms = context.now.monotonic_ms;
+        leader
+            .cluster
+            .lower_max_value_bytes(context.store_limits.max_value_bytes());
         if self.answer_mode == AnswerMode::Immediate {
             for (call, result) in std::mem::take(&mut self.delayed_answers) {
                 leader.call_done(&mut context, call, result);
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -14,7 +14,7 @@
             self.deposed = true;
             return None;
         }
-        self.now_ms = context.now.monotonic_ms;
+        self.cluster.now_ms = context.now.monotonic_ms;
         if !context.watermark_current {
             // The machine lives, but nothing that we say reaches it by this way.
             if self.stage != Stage::Loading {
@@ -33,12 +33,13 @@
             let id = report.machine_id.clone();
             let newer = self.apply_heartbeat(context, report, true);
             if newer {
-                if let Some(mut m) = self.machines.edit(&id) {
+                if let Some(mut m) = self.cluster.machines.edit(&id) {
                     m.via_store = false;
                 }
                 self.process_exits(context, &id);
                 if self.stage == Stage::Active {
-                    self.dispatch_queued(context, &id);
+                    self.scheduler
+                        .dispatch_queued(&mut self.cluster, context, &id);
                 }
                 commands = self.collect_commands(context, &id, true);
             }
@@ -61,15 +62,15 @@
     ) -> bool {
         let now = context.now.monotonic_ms;
         let id = report.machine_id.clone();
-        if self.deleted_machines.contains_key(&id) {
+        if self.cluster.deleted_machines.contains_key(&id) {
             return false;
         }
-        self.machines.add(&id, || {
+        self.cluster.machines.add(&id, || {
             log::info!("machine {id} reports for the first time");
             Machine::new(&id, &report.machine_type, &report.zone, report.is_spot, now)
         });
         let term = self.term;
-        let Some(mut m) = self.machines.edit(&id) else {
+        let Some(mut m) = self.cluster.machines.edit(&id) else {
             return false;
         };
         if (report.incarnation, report.sequence) <= (m.incarnation, m.sequence) {
@@ -126,9 +127,9 @@
             m.cached_images.clear();
         }
         drop(m);
-        self.scheduling_needed |= first;
+        self.cluster.scheduling_needed |= first;
         if new_session {
-            self.remove_terminated_placements(
+            self.cluster.remove_terminated_placements(
                 &id,
                 TerminationEvidence::NewIncarnation {
                     includes_inherited: inherited_too,
@@ -173,7 +174,7 @@
     ) {
         let now = context.now.monotonic_ms;
         let mut adopt = vec![];
-        let Some(mut m) = self.machines.edit(id) else {
+        let Some(mut m) = self.cluster.machines.edit(id) else {
             return;
         };
         let mut seen = vec![false; m.placements.len()];
@@ -252,10 +253,10 @@
         }
         drop(m);
         if !gone.is_empty() {
-            self.mark_group_stale(id);
+            self.cluster.mark_group_stale(id);
         }
         for (job, index) in gone {
-            self.requeue_task(&job, index);
+            self.cluster.requeue_task(&job, index);
         }
         for (job, index, t) in adopt {
             self.adopt_unknown_task(context, id, &job, index, &t);
@@ -281,12 +282,13 @@
             .jobs
             .get(job)
             .and_then(|j| j.record.spec.as_ref());
-        let wanted = !self.machines.is_present(job, index) && self.jobs.contains_key(job);
+        let wanted =
+            !self.cluster.machines.is_present(job, index) && self.cluster.jobs.contains_key(job);
         // What has exited needs no record.
         let shard = is_present_phase(phase)
-            .then(|| self.assign_machine_group(id, job, true))
+            .then(|| self.cluster.assign_machine_group(id, job, true))
             .flatten();
-        let Some(mut m) = self.machines.edit(id) else {
+        let Some(mut m) = self.cluster.machines.edit(id) else {
             return;
         };
         m.placements.push(Placement {
@@ -304,24 +306,12 @@
         }
         m.machine_group = shard;
         drop(m);
-        if let Some(s) = shard.and_then(|n| self.machine_groups.get_mut(&n)) {
+        if let Some(s) = shard.and_then(|n| self.cluster.machine_groups.get_mut(&n)) {
             s.add_task(now, job);
         }
-        if let Some(w) = self.jobs.get_mut(job) {
+        if let Some(w) = self.cluster.jobs.get_mut(job) {
             w.remove_pending(index);
-            self.dequeue(job, index);
-        }
-    }
-
-    /// Takes a task out of the queues.
-    pub fn dequeue(&mut self, job: &str, index: u32) {
-        if !self.machines.is_queued(job, index) {
-            return;
-        }
-        for id in self.machines.machines_of_job(job) {
-            if let Some(mut m) = self.machines.edit(&id) {
-                m.queued.retain(|h| (h.0.as_str(), h.1) != (job, index));
-            }
+            self.cluster.dequeue(job, index);
         }
     }
 
@@ -329,8 +319,8 @@
     pub(super) fn process_exits(&mut self, context: &mut LeaderContext, id: &str) {
         let now = context.now.monotonic_ms;
         let mut exits = vec![];
-        let works = &self.jobs;
-        let Some(mut m) = self.machines.edit(id) else {
+        let works = &self.cluster.jobs;
+        let Some(mut m) = self.cluster.machines.edit(id) else {
             return;
         };
         let kind = m.machine_type.clone();
@@ -372,8 +362,8 @@
         }
         drop(m);
         for (job, index, cause, run_s) in exits {
-            self.scheduling_needed = true;
-            let Some(w) = self.jobs.get_mut(&job) else {
+            self.cluster.scheduling_needed = true;
+            let Some(w) = self.cluster.jobs.get_mut(&job) else {
                 continue;
             };
             if cause != ExitCause::Done {
@@ -381,7 +371,8 @@
                 continue;
             }
             if w.gang.is_some() {
-                self.finish_gang(now, &job, &kind);
+                let estimates = &mut self.scheduler.state.estimates;
+                GangLifecycle::new(&mut self.cluster).finish_gang(estimates, now, &job, &kind);
                 continue;
             }
             if w.done_tasks.set(index) {
@@ -398,13 +389,13 @@
                     chunk.stored_state.dirty = true;
                     chunk.dirty_since = now;
                 }
-                self.jobs_to_store.insert(job.clone());
+                self.cluster.jobs_to_store.insert(job.clone());
                 if let Some(s) = run_s {
                     let spec = w.spec.clone();
-                    self.scheduler.record_run(&spec, &kind, s);
+                    self.scheduler.state.estimates.record_run(&spec, &kind, s);
                 }
             }
-            self.dequeue(&job, index);
+            self.cluster.dequeue(&job, index);
         }
     }
 }
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -25,36 +25,45 @@
                     );
                     let at = j.record.submitted_at_ms;
                     let spec = spec.clone();
-                    if spec.deadline_s.is_some() && !self.jobs.contains_key(&id) {
+                    if spec.deadline_s.is_some() && !self.cluster.jobs.contains_key(&id) {
                         let age = context.now.wall_ms.saturating_sub(at);
-                        self.record_deadline_arrival(context.now.monotonic_ms, age, &spec);
+                        let run_s = self.scheduler.state.estimates.mean_run_s(&spec);
+                        self.autoscaler.record_deadline_arrival(
+                            context.now.monotonic_ms,
+                            age,
+                            &spec,
+                            run_s,
+                        );
                     }
-                    let new = !self.jobs.contains_key(&id) && self.stage == Stage::Active;
+                    let new = !self.cluster.jobs.contains_key(&id) && self.stage == Stage::Active;
                     if new && spec.kind == JobKind::Service && spec.priority >= Priority::High {
                         let now = context.now.monotonic_ms;
                         for _ in 0..spec.task_count.min(MAX_MACHINES_PER_PROVISION) {
-                            self.record_urgent_arrival(now);
+                            self.autoscaler.record_urgent_arrival(now);
                         }
                     }
                     if new && spec.kind == JobKind::Gang {
-                        self.record_gang_arrival(context.now.monotonic_ms, &spec);
+                        self.autoscaler
+                            .record_gang_arrival(context.now.monotonic_ms, &spec);
                     }
                     let work = self
+                        .cluster
                         .jobs
                         .entry(id.clone())
                         .or_insert_with(|| JobState::new(spec, at));
-                    for index in self.machines.present_tasks(&id) {
+                    for index in self.cluster.machines.present_tasks(&id) {
                         work.remove_pending(index);
                     }
-                    self.scheduling_needed = true;
+                    self.cluster.scheduling_needed = true;
                 }
                 (None, None) => log::error!("job {id} has neither description nor end"),
                 (Some(end), _) => {
-                    let urgent = self.jobs.get(&id).is_some_and(|w| {
+                    let urgent = self.cluster.jobs.get(&id).is_some_and(|w| {
                         w.spec.kind == JobKind::Service && w.spec.priority >= Priority::High
                     });
                     if urgent {
-                        self.record_urgent_departure(context.now.monotonic_ms);
+                        self.autoscaler
+                            .record_urgent_departure(context.now.monotonic_ms);
                     }
                     self.end_job(&id, end);
                 }
@@ -63,16 +72,16 @@
     }
 
     pub(super) fn end_job(&mut self, id: &str, end: JobEnd) {
-        if let Some(work) = self.jobs.remove(id) {
+        if let Some(work) = self.cluster.jobs.remove(id) {
             for (chunk, c) in work.result_chunks {
                 self.garbage_records
                     .push((result_chunk_key(id, chunk), c.stored_state));
             }
         }
-        self.jobs_to_store.remove(id);
-        self.scheduler.forget_job(id);
-        for machine in self.machines.machines_of_job(id) {
-            let Some(mut m) = self.machines.edit(&machine) else {
+        self.cluster.jobs_to_store.remove(id);
+        self.scheduler.state.estimates.forget_job(id);
+        for machine in self.cluster.machines.machines_of_job(id) {
+            let Some(mut m) = self.cluster.machines.edit(&machine) else {
                 continue;
             };
             m.queued.retain(|(j, _)| j != id);
@@ -88,12 +97,12 @@
                 }
             }
         }
-        self.scheduling_needed = true;
+        self.cluster.scheduling_needed = true;
     }
 
     pub fn task_counts(&self, job: &str) -> (u32, u32) {
-        let done = self.jobs.get(job).map_or(0, |w| w.done_count);
-        (done, self.machines.running_count(job))
+        let done = self.cluster.jobs.get(job).map_or(0, |w| w.done_count);
+        (done, self.cluster.machines.running_count(job))
     }
 
     fn task_counts_message(&self, job: &str) -> TaskCounts {
@@ -107,7 +116,7 @@
 
     /// Counts of jobs whose running tasks changed since the last time.
     pub fn changed_counts(&mut self) -> Vec<TaskCounts> {
-        let changed = self.machines.take_jobs_with_changed_counts();
+        let changed = self.cluster.machines.take_jobs_with_changed_counts();
         changed
             .iter()
             .map(|job| self.task_counts_message(job))
@@ -116,7 +125,8 @@
 
     /// Counts of all jobs that are not finished, for a node that knows none.
     pub fn all_counts(&self) -> Vec<TaskCounts> {
-        self.jobs
+        self.cluster
+            .jobs
             .keys()
             .map(|job| self.task_counts_message(job))
             .collect()
--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -30,10 +30,12 @@
                     .filter_map(|j| j.record.observed_run_times.as_ref())
                 {
                     self.scheduler
+                        .state
+                        .estimates
                         .record_estimate_ratio(&seen.class, seen.run_to_estimate_ratio);
                 }
                 self.apply_job_changes(context);
-                self.is_first_leader = self.machine_groups.is_empty();
+                self.is_first_leader = self.cluster.machine_groups.is_empty();
                 let period = (context.settings.heartbeat_interval_s * 1.25 * 1e3) as u64;
                 self.set_stage(Stage::AwaitingHeartbeats {
                     until: self.term_began_at.max(now.saturating_sub(period)) + period,
@@ -96,9 +98,10 @@
         let record = e.value;
         let mut doubles = vec![];
         for MachineRow(id, kind, zone, spot, tasks) in record.machines {
-            self.machines
+            self.cluster
+                .machines
                 .add(&id, || Machine::new(&id, &kind, &zone, spot, now));
-            let Some(mut m) = self.machines.edit(&id) else {
+            let Some(mut m) = self.cluster.machines.edit(&id) else {
                 continue;
             };
             m.loaded_from_store = true;
@@ -135,9 +138,10 @@
             }
         }
         shard.stored_state.stale = true;
-        self.machine_groups.insert(number, shard);
+        self.cluster.machine_groups.insert(number, shard);
         for (id, first) in doubles {
-            self.resolve_duplicate_machine(now, &id, first, number);
+            self.cluster
+                .resolve_duplicate_machine(now, &id, first, number);
         }
     }
 
@@ -159,6 +163,7 @@
                 let Some(spec) = &j.record.spec else { return };
                 let at = j.record.submitted_at_ms;
                 let work = self
+                    .cluster
                     .jobs
                     .entry(job.into())
                     .or_insert_with(|| JobState::new(spec.clone(), at));
@@ -171,7 +176,7 @@
                 let done = &work.done_tasks;
                 work.pending_tasks.retain(|n| !done.get(*n));
                 if work.pending_tasks.is_empty() {
-                    self.jobs_to_store.insert(job.into());
+                    self.cluster.jobs_to_store.insert(job.into());
                 }
                 work.done_count = work.spec.task_count - work.pending_tasks.len() as u32;
                 if work.done_count > 0 {
@@ -179,7 +184,7 @@
                 }
                 let stored = StoredState::at_revision(e.revision);
                 work.result_chunks.insert(chunk, ResultChunk::new(stored));
-                self.scheduler.inherit_observed_runs(
+                self.scheduler.state.estimates.inherit_observed_runs(
                     job,
                     e.value.observed_runs,
                     e.value.mean_run_s,
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -3,44 +3,6 @@
 use super::*;
 use stonegw_constants::MACHINE_GROUP_OVERHEAD_BYTES;
 
-/// What a group's record holds now, and which attempts it holds for the first time.
-pub(super) fn machine_group_record(
-    machines: &Machines,
-    group: &BTreeSet<String>,
-) -> (MachineGroupRecord, Vec<PlacementRef>) {
-    let mut out = MachineGroupRecord::default();
-    let (mut new, mut jobs) = (vec![], HashMap::new());
-    for m in group.iter().filter_map(|id| machines.get(id)) {
-        let mut rows = vec![];
-        for p in m.placements.iter().filter(|p| p.is_present()) {
-            let job = *jobs.entry(p.job.as_str()).or_insert_with(|| {
-                let team = out.teams.iter().position(|t| *t == p.team);
-                let team = team.unwrap_or_else(|| {
-                    out.teams.push(p.team.clone());
-                    out.teams.len() - 1
-                });
-                out.jobs
-                    .push(JobRow(p.job.clone(), team, p.cpus, p.gpus, p.memory_gb));
-                out.jobs.len() - 1
-            });
-            rows.push(TaskRow(job, p.index, p.attempt));
-            if p.phase == Phase::Unstored {
-                new.push((m.id.clone(), p.attempt));
-            }
-        }
-        if !rows.is_empty() {
-            out.machines.push(MachineRow(
-                m.id.clone(),
-                m.machine_type.clone(),
-                m.zone.clone(),
-                m.spot,
-                rows,
-            ));
-        }
-    }
-    (out, new)
-}
-
 /// Records to be written, the longest waiting first: by number, the last would wait for ever while
 /// the first keep changing.
 fn groups_to_write(
@@ -66,22 +28,22 @@
         due: fn(&MachineGroup) -> bool,
     ) {
         let mut empty = vec![];
-        for number in groups_to_write(&self.machine_groups, due) {
+        for number in groups_to_write(&self.cluster.machine_groups, due) {
             // What is already full needs no look at the rest.
             if draft.pending_writes.len() >= draft.max_writes {
                 draft.is_full = true;
                 break;
             }
-            let Some(shard) = self.machine_groups.get_mut(&number) else {
+            let Some(shard) = self.cluster.machine_groups.get_mut(&number) else {
                 continue;
             };
             let Some(version) = shard.stored_state.revision else {
                 continue;
             };
-            let (record, new) = machine_group_record(&self.machines, &shard.machines);
+            let (record, new) = machine_group_record(&self.cluster.machines, &shard.machines);
             let size = json_size_bytes(&record);
             // Its bytes were counted too low; the next flush divides it.
-            if size > self.max_value_bytes {
+            if size > self.cluster.max_value_bytes {
                 shard.estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
                 continue;
             }
@@ -114,16 +76,16 @@
             // Machines without tasks need no record; they may go to another.
             for id in std::mem::replace(&mut shard.machines, named) {
                 if !shard.machines.contains(&id) {
-                    if let Some(mut m) = self.machines.edit(&id) {
+                    if let Some(mut m) = self.cluster.machines.edit(&id) {
                         m.machine_group = None;
                     }
                 }
             }
         }
         for n in empty {
-            if let Some(s) = self.machine_groups.remove(&n) {
+            if let Some(s) = self.cluster.machine_groups.remove(&n) {
                 for id in s.machines {
-                    if let Some(mut m) = self.machines.edit(&id) {
+                    if let Some(mut m) = self.cluster.machines.edit(&id) {
                         m.machine_group = None;
                     }
                 }
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -43,12 +43,12 @@
 
 fn assert_placed_once(leader: &Leader) {
     let mut seen = BTreeSet::new();
-    for m in leader.machines.values() {
+    for m in leader.cluster.machines.values() {
         for p in &m.placements {
             let key = (m.id.clone(), p.job.clone(), p.index, p.attempt);
             assert!(seen.insert(key), "{} twice on {}", p.task_name(), m.id);
         }
-        let records = leader.machine_groups.values();
+        let records = leader.cluster.machine_groups.values();
         let records = records.filter(|s| s.machines.contains(&m.id)).count();
         assert_eq!(records, 1, "{}", m.id);
     }
@@ -73,6 +73,7 @@
     assert_eq!(over.count(), 0);
     assert!(stored_placements(&world.store).values().all(|n| *n == 1));
     assert!(!leader
+        .cluster
         .machine_groups
         .values()
         .any(MachineGroup::needs_write));
@@ -89,12 +90,12 @@
     world.submit(&mut leader, "run-99", 1);
     let placed = (0..120).any(|_| {
         world.run_turn(&mut leader);
-        leader.place_task(&machine_id(3), "run-99", 0)
+        leader.cluster.place_task(&machine_id(3), "run-99", 0)
     });
     assert!(placed);
     run_until_all_stored(&mut world, &mut leader, &all);
     assert!(world.max_writes_seen <= 4);
-    let m = leader.machines.get(&machine_id(3)).expect("there");
+    let m = leader.cluster.machines.get(&machine_id(3)).expect("there");
     assert!(m.placements.iter().any(|p| p.phase == Phase::Startable));
     assert_placed_once(&leader);
 }
@@ -113,7 +114,7 @@
         drop(first);
         let mut second = world.start_leader(3);
         assert_placed_once(&second);
-        let held = second.machines.values().map(|m| m.placements.len());
+        let held = second.cluster.machines.values().map(|m| m.placements.len());
         assert_eq!(held.sum::<usize>(), all.len());
         run_until_all_stored(&mut world, &mut second, &all);
         assert_placed_once(&second);
@@ -164,24 +165,25 @@
     let mut leader = world.start_leader(2);
     let id = machine_id(1);
     leader
+        .cluster
         .machines
         .add(&id, || Machine::new(&id, "small", "a", false, 0));
     for n in 0..50 {
         world.submit(&mut leader, &format!("run-{n}"), 2);
-        assert!(leader.place_task(&id, &format!("run-{n}"), 0));
+        assert!(leader.cluster.place_task(&id, &format!("run-{n}"), 0));
     }
     world.run_turn(&mut leader);
     let all = stored_placements(&world.store);
     assert_eq!(all.len(), 50);
-    assert!(leader.place_task(&id, "run-7", 1));
+    assert!(leader.cluster.place_task(&id, "run-7", 1));
     world.store_limits.set_max_value_bytes(SMALL_VALUE_BYTES);
     for _ in 0..20 {
         world.run_turn(&mut leader);
     }
     assert_eq!(stored_placements(&world.store), all);
-    assert!(!leader.machines.is_present("run-7", 1));
-    assert!(leader.jobs["run-7"].pending_tasks.contains(&1));
-    assert!(!leader.place_task(&id, "run-7", 1));
+    assert!(!leader.cluster.machines.is_present("run-7", 1));
+    assert!(leader.cluster.jobs["run-7"].pending_tasks.contains(&1));
+    assert!(!leader.cluster.place_task(&id, "run-7", 1));
 }
 
 /// The state service lowers both limits without a word: all that waits to be stored still is, and no
@@ -199,6 +201,7 @@
         for n in 0..200 {
             let id = machine_id(n);
             leader
+                .cluster
                 .machines
                 .add(&id, || Machine::new(&id, "small", "a", false, 0));
             world.submit(&mut leader, &format!("run-{}", 100 + n), 1);
@@ -207,13 +210,17 @@
         world.store.max_transaction_writes = writes;
         let mut waiting: BTreeSet<usize> = (0..200).collect();
         for _ in 0..900 {
-            waiting.retain(|n| !leader.place_task(&machine_id(*n), &format!("run-{}", 100 + n), 0));
+            waiting.retain(|n| {
+                !leader
+                    .cluster
+                    .place_task(&machine_id(*n), &format!("run-{}", 100 + n), 0)
+            });
             world.run_turn(&mut leader);
             let now = stored_placements(&world.store);
             assert!(all.keys().all(|key| now.contains_key(key)));
         }
         assert!(waiting.is_empty(), "{waiting:?}");
-        let placed = leader.machines.values().flat_map(|m| &m.placements);
+        let placed = leader.cluster.machines.values().flat_map(|m| &m.placements);
         assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 200);
         assert!(
             world.refused_transactions > 0 && world.refused_transactions < 30,
@@ -235,11 +242,12 @@
     for n in 0..60 {
         let id = machine_id(n);
         leader
+            .cluster
             .machines
             .add(&id, || Machine::new(&id, "small", "a", false, 0));
         world.submit(&mut leader, &format!("run-{n}"), 9);
         for index in 0..9 {
-            assert!(leader.place_task(&id, &format!("run-{n}"), index));
+            assert!(leader.cluster.place_task(&id, &format!("run-{n}"), index));
         }
     }
     // More than so many writes at once are never taken.
@@ -247,7 +255,7 @@
     for _ in 0..400 {
         world.run_turn(&mut leader);
     }
-    let placed = leader.machines.values().flat_map(|m| &m.placements);
+    let placed = leader.cluster.machines.values().flat_map(|m| &m.placements);
     assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 540);
 }
 
@@ -274,15 +282,16 @@
         for _ in 0..30 {
             world.run_turn(&mut leader);
         }
-        let record = leader.machine_groups.get(&0);
+        let record = leader.cluster.machine_groups.get(&0);
         if record.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(&job) > SMALL_VALUE_BYTES) {
             break;
         }
         world.submit(&mut leader, &job, 1);
-        assert!(leader.place_task(&machine_id(1 + n % 6), &job, 0));
+        assert!(leader.cluster.place_task(&machine_id(1 + n % 6), &job, 0));
     }
-    assert_eq!(leader.machine_groups.len(), 1);
+    assert_eq!(leader.cluster.machine_groups.len(), 1);
     assert!(!leader
+        .cluster
         .machine_groups
         .values()
         .any(MachineGroup::needs_write));
@@ -292,7 +301,7 @@
 fn add_machines(leader: &mut Leader, numbers: std::ops::Range<usize>) {
     for id in numbers.map(machine_id) {
         let new = || Machine::new(&id, "small", "a", false, 0);
-        leader.machines.add(&id, new);
+        leader.cluster.machines.add(&id, new);
     }
 }
 
@@ -300,8 +309,9 @@
 /// before it is written; tidying up the full one does not.
 fn move_busy_machine(world: &mut LeaderFixture, leader: &mut Leader) {
     world.submit(leader, "run-99", 1);
-    assert!(leader.place_task(&machine_id(1), "run-99", 0));
+    assert!(leader.cluster.place_task(&machine_id(1), "run-99", 0));
     let record = leader
+        .cluster
         .machines
         .get(&machine_id(1))
         .and_then(|m| m.machine_group);
@@ -325,7 +335,7 @@
 /// Whatever may be on a machine stands in a stored record.
 fn assert_all_stored(world: &LeaderFixture, leader: &Leader) {
     let told = stored_placements(&world.store);
-    for m in leader.machines.values() {
+    for m in leader.cluster.machines.values() {
         let sendable = |p: &&Placement| p.is_present() && p.phase != Phase::Unstored;
         for p in m.placements.iter().filter(sendable) {
             let key = (m.id.clone(), p.attempt);
@@ -339,10 +349,11 @@
         world.run_turn(leader);
         assert_all_stored(world, leader);
     }
-    let m = leader.machines.get(&machine_id(1)).expect("there");
+    let m = leader.cluster.machines.get(&machine_id(1)).expect("there");
     assert!(m.placements.iter().all(|p| p.phase == Phase::Startable));
     assert!(stored_placements(&world.store).values().all(|n| *n == 1));
     assert!(!leader
+        .cluster
         .machine_groups
         .values()
         .any(MachineGroup::needs_write));
@@ -377,10 +388,11 @@
     let mut leader = leader_with_full_group_record(&mut world);
     add_machines(&mut leader, 9..10);
     world.submit(&mut leader, "run-98", 1);
-    assert!(leader.place_task(&machine_id(9), "run-98", 0));
+    assert!(leader.cluster.place_task(&machine_id(9), "run-98", 0));
     world.answer_mode = AnswerMode::Delayed;
     run_until_next_transaction(&mut world, &mut leader);
     assert!(leader
+        .cluster
         .machine_groups
         .values()
         .any(|s| s.stored_state.write_in_flight));
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -26,7 +26,7 @@
         let mut total = MachineCounts::default();
         let mut zones: HashMap<&str, MachineCounts> = HashMap::new();
         // Machines that a predecessor left with tasks count before they are heard.
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             if (m.last_heartbeat_at.is_some() || m.loaded_from_store)
                 && m.lifecycle != Lifecycle::Terminating
             {
@@ -64,6 +64,7 @@
         let many_deaf = now < self.mass_unreachable_until;
         if settled && total.total > 1 && context.may_resign {
             let last = self
+                .cluster
                 .machines
                 .values()
                 .filter_map(|m| m.last_heartbeat_at)
@@ -94,14 +95,14 @@
         let lost_ms = if many { lost_ms * 3 } else { lost_ms };
         let urgent = |m: &Machine| {
             m.placements.iter().any(|p| {
-                let work = self.jobs.get(&p.job).filter(|_| p.is_present());
+                let work = self.cluster.jobs.get(&p.job).filter(|_| p.is_present());
                 // A gang can't go on elsewhere until each of its tasks is proven gone.
                 work.is_some_and(|w| w.is_urgent() || w.gang.is_some())
             })
         };
         // Where unsent placements are to be taken back: all of them, or those of ended jobs.
         let (mut lost, mut unsent) = (vec![], vec![]);
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let quiet = m.is_silent(now, report_s);
             let quiet_ms = now.saturating_sub(m.last_heartbeat_at.unwrap_or(m.known_since));
             let mattered = m.last_heartbeat_at.is_some() || !m.placements.is_empty();
@@ -135,7 +136,8 @@
                 || m.is_unreachable();
             let any = !m.placements.is_empty() || !m.queued.is_empty();
             let ended = |p: &Placement| {
-                p.is_unsent() && (p.stop_grace_s.is_some() || !self.jobs.contains_key(&p.job))
+                p.is_unsent()
+                    && (p.stop_grace_s.is_some() || !self.cluster.jobs.contains_key(&p.job))
             };
             if no_more && any || m.placements.iter().any(ended) {
                 unsent.push((m.id.clone(), no_more));
@@ -143,14 +145,15 @@
         }
         for id in lost {
             // The delete is the proof that everything on it is gone.
-            if let Some(mut m) = self.machines.edit(&id) {
+            if let Some(mut m) = self.cluster.machines.edit(&id) {
                 m.set_lifecycle(Lifecycle::Terminating);
             }
         }
         for (id, closing) in unsent {
-            self.withdraw_unsent(&id, closing);
+            self.cluster.withdraw_unsent(&id, closing);
         }
-        self.deleted_machines
+        self.cluster
+            .deleted_machines
             .retain(|_, at| now < *at + DELETED_MACHINE_RETENTION_MS);
     }
 
@@ -159,6 +162,7 @@
     pub(super) fn probe_unreachable_machines(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
         let due: Vec<(String, String)> = self
+            .cluster
             .machines
             .values()
             .filter(|m| {
@@ -167,7 +171,7 @@
             .filter_map(|m| Some((m.id.clone(), m.addr.clone()?)))
             .collect();
         for (machine, addr) in due {
-            if let Some(mut m) = self.machines.edit(&machine) {
+            if let Some(mut m) = self.cluster.machines.edit(&machine) {
                 m.next_probe_at = now + UNREACHABLE_PROBE_INTERVAL_MS;
             }
             let call = LeaderCall::Probe { machine };
@@ -182,71 +186,4 @@
             self.apply_command_reply(context, id, &body);
         }
     }
-
-    /// Placements that were never sent may simply be taken back: of jobs that ended, and all
-    /// where nothing new is to start. What was sent to a machine that does not hear us is
-    /// called off.
-    fn withdraw_unsent(&mut self, id: &str, closing: bool) {
-        let works = &self.jobs;
-        let writing = self
-            .machines
-            .get(id)
-            .and_then(|m| self.machine_groups.get(&m.machine_group?))
-            .is_some_and(|s| s.stored_state.write_in_flight);
-        let Some(mut m) = self.machines.edit(id) else {
-            return;
-        };
-        let mut back = vec![];
-        m.placements.retain(|p| {
-            let unwanted = p.stop_grace_s.is_some() || !works.contains_key(&p.job) || closing;
-            let out = unwanted && p.is_unsent() && !(p.phase == Phase::Unstored && writing);
-            if out {
-                back.push((p.job.clone(), p.index));
-            }
-            !out
-        });
-        let unstored = !back.is_empty();
-        if closing {
-            back.append(&mut m.queued);
-            if m.is_unreachable() {
-                for p in m.placements.iter_mut().filter(|p| p.phase == Phase::Sent) {
-                    p.stop_grace_s.get_or_insert(0.0);
-                }
-            }
-        }
-        drop(m);
-        if unstored {
-            self.mark_group_stale(id);
-        }
-        for (job, index) in back {
-            self.requeue_task(&job, index);
-        }
-    }
-
-    /// The cloud confirmed: the machine and everything on it are gone.
-    pub fn handle_machine_deleted(&mut self, now: Millis, id: &str) {
-        self.remove_terminated_placements(id, TerminationEvidence::MachineDeleted);
-        self.deleted_machines.insert(id.into(), now);
-        let Some(mut m) = self.machines.edit(id) else {
-            return;
-        };
-        let held = std::mem::take(&mut m.queued);
-        let kind = m.machine_type.clone();
-        drop(m);
-        for (job, index) in held {
-            self.requeue_task(&job, index);
-        }
-        self.mark_group_stale(id);
-        let cpus = self.machine_type(&kind).map_or(1.0, |t| t.cpus);
-        if let Some(m) = self.machines.get(id) {
-            log::info!("machine {id} account: {}", m.describe_usage(now, cpus));
-            if let Some(s) = m
-                .machine_group
-                .and_then(|n| self.machine_groups.get_mut(&n))
-            {
-                s.machines.remove(id);
-            }
-        }
-        self.machines.remove(id);
-    }
 }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -3,12 +3,12 @@
 //! The two rules everything here serves: a `run` goes out only after its placement is stored
 //! under our term, and a task moves only when it is proven gone.
 use crate::api::{describe_result, CallError, CallResult, Millis, Target};
-use crate::autoscaler::Autoscaler;
+use crate::autoscaler::{Autoscaler, AutoscalerTurn};
 use crate::calls::LeaderCall;
 use crate::cluster::{
-    is_present_phase, pending_write_key, reported_phase, JobState, Lifecycle, Machine,
-    MachineGroup, Machines, PendingWrite, Phase, Placement, PlacementRef, Reachability,
-    ResultChunk, StoredState,
+    is_present_phase, machine_group_record, pending_write_key, reported_phase, ClusterState,
+    JobState, Lifecycle, Machine, MachineGroup, Machines, PendingWrite, Phase, Placement,
+    PlacementRef, Reachability, ResultChunk, StoredState, TerminationEvidence,
 };
 use crate::context::LeaderContext;
 use crate::records::{
@@ -16,19 +16,19 @@
     MachineGroupRecord, MachineRow, ResultChunkRecord, StoredRecord, TaskRow, LEADER_KEY,
     MACHINE_GROUPS_PREFIX, RESULT_CHUNKS_PREFIX,
 };
-use crate::scheduler::Scheduler;
+use crate::scheduling::gang_lifecycle::GangLifecycle;
+use crate::scheduling::scheduler::Scheduler;
 use crate::settings::Settings;
 use crate::store_limits::TransactionSize;
 use rand::{rngs::SmallRng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_constants::{
-    ATTEMPTS_PER_TERM, LEADER_RENEW_INTERVAL_MS, SILENCE_CHECK_INTERVAL_MS, STORE_TIMEOUT_MS,
-    SUMMARY_LOG_INTERVAL_MS,
+    LEADER_RENEW_INTERVAL_MS, SILENCE_CHECK_INTERVAL_MS, STORE_TIMEOUT_MS, SUMMARY_LOG_INTERVAL_MS,
 };
 use stonegw_wire::frame::{self, TaskCounts};
 use stonegw_wire::msg::{
     decode, encode, json_size_bytes, Catalog, Command, CommandBatch, Condition, Entry, ExitCause,
-    Heartbeat, JobKind, MachineType, Priority, TaskStatus, Txn, TxnResponse, Write,
+    Heartbeat, JobKind, Priority, TaskStatus, Txn, TxnResponse, Write,
 };
 
 mod commit;
@@ -41,9 +41,9 @@
 mod listing_page;
 mod load;
 mod machine_group_records;
-mod machine_group_split;
+#[cfg(test)]
+mod machine_group_split_tests;
 mod machine_health;
-mod placement;
 mod results;
 mod resume;
 mod revision_reads;
@@ -81,26 +81,14 @@
     next_renewal_at: Millis,
     renewal_in_flight: bool,
     load_cursor: Option<(&'static str, Option<String>, bool, Millis)>,
-    last_attempt: u64,
+    /// The machines, placements and jobs.
+    pub cluster: ClusterState,
     /// For waits that are spread by chance.
     rng: SmallRng,
-    pub catalog: Catalog,
-    pub machines: Machines,
-    pub jobs: BTreeMap<String, JobState>,
-    /// Jobs with results or an end to be stored.
-    pub(crate) jobs_to_store: BTreeSet<String>,
     /// Whose results are looked at first, since the last transaction had no room for them.
     next_results_job: String,
-    /// The records that tell of the machines.
-    machine_groups: BTreeMap<u32, MachineGroup>,
     /// What was written without an answer: its stamp is read before it is written again.
     unacknowledged_writes: Vec<PendingWrite>,
-    /// Bytes of JSON that a record may take.
-    max_value_bytes: usize,
-    /// The time of the present turn.
-    now_ms: Millis,
-    /// Machines that were deleted, with the time: late lists and reports still name them.
-    pub deleted_machines: HashMap<String, Millis>,
     commit_in_flight: bool,
     next_commit_at: Millis,
     /// When placements that are not urgent may go out again, and what only tidies up.
@@ -118,23 +106,8 @@
     revision_read_in_flight: bool,
     pub scheduler: Scheduler,
     pub autoscaler: Autoscaler,
-    /// Something changed that could let work start.
-    pub scheduling_needed: bool,
     /// Nothing was placed before us.
     pub is_first_leader: bool,
-    /// A task of a gang changed, so that the gang's state may have to.
-    pub gangs_changed: bool,
-    /// When all gangs are looked at again in any case.
-    pub next_gang_check_at: Millis,
-}
-
-/// Why everything on a machine is gone.
-#[derive(Clone, Copy)]
-enum TerminationEvidence {
-    /// The cloud has deleted it.
-    MachineDeleted,
-    /// Its worker began a new session.
-    NewIncarnation { includes_inherited: bool },
 }
 
 impl Leader {
@@ -160,18 +133,10 @@
             next_renewal_at: now,
             renewal_in_flight: false,
             load_cursor: Some((MACHINE_GROUPS_PREFIX, None, false, now)),
-            last_attempt: term * ATTEMPTS_PER_TERM,
             rng: SmallRng::seed_from_u64(term),
-            catalog,
-            machines: Machines::default(),
-            jobs: BTreeMap::new(),
-            jobs_to_store: BTreeSet::new(),
+            cluster: ClusterState::new(term, now, catalog, settings.max_value_bytes),
             next_results_job: String::new(),
-            machine_groups: BTreeMap::new(),
             unacknowledged_writes: vec![],
-            max_value_bytes: settings.max_value_bytes,
-            now_ms: now,
-            deleted_machines: HashMap::new(),
             commit_in_flight: false,
             next_commit_at: 0,
             next_batch_at: 0,
@@ -185,10 +150,7 @@
             revision_read_in_flight: false,
             scheduler: Scheduler::default(),
             autoscaler: Autoscaler::new(term, now),
-            scheduling_needed: true,
             is_first_leader: false,
-            gangs_changed: true,
-            next_gang_check_at: now,
         }
     }
 
@@ -197,16 +159,12 @@
         self.stage = to;
     }
 
-    /// The machine type of this name.
-    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
-        self.catalog.machine_types.iter().find(|t| t.name == name)
-    }
-
     /// What goes on by itself, once a turn.
     pub fn advance(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
-        self.now_ms = now;
-        self.lower_max_value_bytes(context.store_limits.max_value_bytes());
+        self.cluster.now_ms = now;
+        self.cluster
+            .lower_max_value_bytes(context.store_limits.max_value_bytes());
         if now >= self.next_renewal_at && !self.renewal_in_flight {
             self.renewal_in_flight = true;
             self.last_renewal_sent_at = now;
@@ -225,9 +183,9 @@
             Stage::Loading => self.load_records(context),
             Stage::AwaitingHeartbeats { until } if now >= until => {
                 self.set_stage(Stage::Active);
-                self.scheduling_needed = true;
+                self.cluster.scheduling_needed = true;
                 // What was late before our time tells nothing of the present load.
-                for w in self.jobs.values_mut() {
+                for w in self.cluster.jobs.values_mut() {
                     w.deadline_missed = w
                         .seconds_to_deadline(context.now.wall_ms)
                         .is_some_and(|d| d <= 0.0);
@@ -245,9 +203,9 @@
             self.check_machines(context);
             self.probe_unreachable_machines(context);
         }
-        self.advance_gangs(context);
+        GangLifecycle::new(&mut self.cluster).advance_gangs(context);
         if self.stage == Stage::Active {
-            self.schedule(context);
+            self.scheduler.schedule(&mut self.cluster, context);
             if now >= self.next_summary_at {
                 self.next_summary_at = now + SUMMARY_LOG_INTERVAL_MS;
                 self.log_summary(context);
@@ -256,12 +214,24 @@
         // A request to the cloud can be carried out late, after another leader has made its own
         // plans: so none without a lease that surely holds.
         if (self.stage == Stage::Active || self.is_first_leader) && self.lease_is_valid(context) {
-            self.run_autoscaler(context);
+            self.autoscaler_turn().run(context);
         }
         self.commit(context);
         self.send_direct_commands(context);
     }
 
+    /// One turn of the autoscaler on the present state.
+    fn autoscaler_turn(&mut self) -> AutoscalerTurn<'_> {
+        AutoscalerTurn {
+            autoscaler: &mut self.autoscaler,
+            cluster: &mut self.cluster,
+            estimates: &mut self.scheduler.state.estimates,
+            is_active: self.stage == Stage::Active,
+            is_first_leader: self.is_first_leader,
+            term_began_at: self.term_began_at,
+        }
+    }
+
     /// Our lease surely holds: no other can lead yet.
     pub fn lease_is_valid(&self, context: &LeaderContext) -> bool {
         context.now.monotonic_ms
@@ -279,7 +249,7 @@
             // there; after a change of leader a cut zone has no other way to tell even that.
             let id = report.machine_id.clone();
             if self.apply_heartbeat(context, report, false) {
-                if let Some(mut m) = self.machines.edit(&id) {
+                if let Some(mut m) = self.cluster.machines.edit(&id) {
                     m.via_store = true;
                 }
                 self.process_exits(context, &id);
@@ -317,7 +287,7 @@
                 self.direct_command_done(context, &machine, session, runs, result);
             }
             LeaderCall::Probe { machine } => self.probe_done(context, &machine, result),
-            LeaderCall::Autoscaler(c) => self.cloud_call_done(context, c, result),
+            LeaderCall::Autoscaler(c) => self.autoscaler_turn().cloud_call_done(context, c, result),
         }
     }
 }
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -30,8 +30,9 @@
         context: &LeaderContext,
         draft: &mut TransactionBuilder,
     ) {
-        for id in &self.jobs_to_store {
-            let (Some(w), Some(j)) = (self.jobs.get_mut(id), context.replica.jobs.get(id)) else {
+        for id in &self.cluster.jobs_to_store {
+            let (Some(w), Some(j)) = (self.cluster.jobs.get_mut(id), context.replica.jobs.get(id))
+            else {
                 continue;
             };
             if w.done_count != w.spec.task_count || w.end_write_in_flight {
@@ -40,12 +41,12 @@
             let record = JobRecord {
                 spec: None,
                 end: Some(JobEnd::Done),
-                observed_run_times: self.scheduler.observed_run_times(&w.spec),
+                observed_run_times: self.scheduler.state.estimates.observed_run_times(&w.spec),
                 ..j.record.clone()
             };
             let item = PendingWrite::JobEnd {
                 job: id.clone(),
-                exited_placements: done_placements(&self.machines, id, None),
+                exited_placements: done_placements(&self.cluster.machines, id, None),
             };
             let value = Some(StoredRecord::Job(Box::new(record)));
             if draft.add_write(job_key(id), j.revision, value, item) {
@@ -68,22 +69,23 @@
         let rate =
             (context.settings.store_writes_per_s * LEADER_WRITE_FRACTION * RESULT_WRITE_FRACTION)
                 .max(0.1);
-        let wait =
-            RESULT_COMMIT_DELAY_MS.max((self.jobs_to_store.len() as f64 / rate * 1e3) as u64);
+        let wait = RESULT_COMMIT_DELAY_MS
+            .max((self.cluster.jobs_to_store.len() as f64 / rate * 1e3) as u64);
         let mut left = most;
         let mut settled = vec![];
         // In turn, so that none is passed over for long.
         let next = std::mem::take(&mut self.next_results_job);
         for id in self
+            .cluster
             .jobs_to_store
             .range(next.clone()..)
-            .chain(self.jobs_to_store.range(..next))
+            .chain(self.cluster.jobs_to_store.range(..next))
         {
             if left == 0 {
                 self.next_results_job = id.clone();
                 break;
             }
-            let Some(w) = self.jobs.get_mut(id) else {
+            let Some(w) = self.cluster.jobs.get_mut(id) else {
                 settled.push(id.clone());
                 continue;
             };
@@ -107,9 +109,9 @@
                 let item = PendingWrite::ResultChunk {
                     job: id.clone(),
                     chunk: *n,
-                    exited_placements: done_placements(&self.machines, id, Some(*n)),
+                    exited_placements: done_placements(&self.cluster.machines, id, Some(*n)),
                 };
-                let (runs, run_s) = self.scheduler.observed_runs(id);
+                let (runs, run_s) = self.scheduler.state.estimates.observed_runs(id);
                 let value = StoredRecord::ResultChunk(ResultChunkRecord {
                     done_bitmap: bits,
                     observed_runs: runs,
@@ -126,7 +128,7 @@
             }
         }
         for id in settled {
-            self.jobs_to_store.remove(&id);
+            self.cluster.jobs_to_store.remove(&id);
         }
     }
 }
--- a/crates/control/src/leader/resume.rs
+++ b/crates/control/src/leader/resume.rs
@@ -14,11 +14,14 @@
         if let Stage::AwaitingHeartbeats { until } = &mut self.stage {
             pause.shift(until);
         }
-        self.machines.edit_all(|machine| machine.resume(pause));
-        self.deleted_machines
+        self.cluster
+            .machines
+            .edit_all(|machine| machine.resume(pause));
+        self.cluster
+            .deleted_machines
             .values_mut()
             .for_each(|at| pause.shift(at));
-        for work in self.jobs.values_mut() {
+        for work in self.cluster.jobs.values_mut() {
             resume_job(work, pause, wall_ms);
         }
         self.autoscaler.resume(pause);
--- a/crates/control/src/leader/resume_tests.rs
+++ b/crates/control/src/leader/resume_tests.rs
@@ -54,7 +54,7 @@
 fn until_leadership_is_confirmed_it_only_renews_its_lease() {
     let mut world = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
     let mut leader = busy_leader(&mut world);
-    if let Some(mut m) = leader.machines.edit(&machine_id(0)) {
+    if let Some(mut m) = leader.cluster.machines.edit(&machine_id(0)) {
         m.placements[0].stop_grace_s = Some(0.0);
     }
     pause(&mut world, &mut leader);
@@ -72,7 +72,7 @@
     for (paused, runs) in [(false, 1), (true, 0)] {
         let mut world = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
         let mut leader = busy_leader(&mut world);
-        if let Some(mut m) = leader.machines.edit(&machine_id(0)) {
+        if let Some(mut m) = leader.cluster.machines.edit(&machine_id(0)) {
             m.placements[0].inherited = false;
         }
         if paused {
@@ -81,7 +81,7 @@
         let done = heartbeat(2, TaskState::Exited, Some(ExitCause::Done));
         world.deliver_heartbeat(&mut leader, done);
         assert_eq!(
-            leader.scheduler.observed_runs("run-1").0,
+            leader.scheduler.state.estimates.observed_runs("run-1").0,
             runs,
             "paused: {paused}"
         );
@@ -95,15 +95,15 @@
     let mut world = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
     let mut leader = busy_leader(&mut world);
     let heard_before = world.now_ms;
-    if let Some(work) = leader.jobs.get_mut("run-1") {
+    if let Some(work) = leader.cluster.jobs.get_mut("run-1") {
         work.spec.deadline_s = Some(5.0);
         work.last_placed_at = Some(heard_before);
     }
     pause(&mut world, &mut leader);
-    let m = leader.machines.get(&machine_id(0)).expect("heard");
+    let m = leader.cluster.machines.get(&machine_id(0)).expect("heard");
     assert_eq!(m.last_heartbeat_at, Some(world.now_ms));
     assert_eq!(m.provisioned_at, heard_before + PAUSE_MS);
-    let work = &leader.jobs["run-1"];
+    let work = &leader.cluster.jobs["run-1"];
     assert_eq!(work.last_placed_at, Some(heard_before + PAUSE_MS));
     assert!(work.deadline_missed);
 }
--- a/crates/control/src/leader/summary.rs
+++ b/crates/control/src/leader/summary.rs
@@ -7,7 +7,7 @@
         let mut lives: BTreeMap<&str, usize> = BTreeMap::new();
         let (mut cpus, mut used, mut held) = (0.0, 0.0, 0);
         let (mut unstored, mut unseen, mut fetching, mut running) = (0, 0, 0, 0);
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let life = match m.lifecycle {
                 Lifecycle::Provisioning => "booting",
                 Lifecycle::Ready
@@ -24,7 +24,10 @@
             };
             *lives.entry(life).or_default() += 1;
             if m.lifecycle == Lifecycle::Ready {
-                cpus += self.machine_type(&m.machine_type).map_or(0.0, |t| t.cpus);
+                cpus += self
+                    .cluster
+                    .machine_type(&m.machine_type)
+                    .map_or(0.0, |t| t.cpus);
                 used += m.used_resources().0;
                 held += m.queued.len();
             }
@@ -39,7 +42,7 @@
             }
         }
         let (mut waiting, mut late) = (0, 0);
-        for w in self.jobs.values() {
+        for w in self.cluster.jobs.values() {
             let n = w.pending_tasks.len();
             waiting += n;
             if w.seconds_to_deadline(context.now.wall_ms)
@@ -52,8 +55,8 @@
             "machines {lives:?}, cpus {used:.0} of {cpus:.0}; jobs {}, tasks waiting {waiting} \
              (late {late}), held {held}, unstored {unstored}, not seen yet {unseen}, \
              fetching {fetching}, running {running}; threshold {:.2}",
-            self.jobs.len(),
-            self.scheduler.pruner.deferring_threshold
+            self.cluster.jobs.len(),
+            self.scheduler.state.pruner.deferring_threshold
         );
     }
 }
--- a/crates/control/src/leader/task_failures.rs
+++ b/crates/control/src/leader/task_failures.rs
@@ -21,19 +21,19 @@
             }
             ExitCause::UnknownTask | ExitCause::AttemptConflict => self.delay_retry(now, job),
             ExitCause::NoCapacity => {
-                if let Some(mut m) = self.machines.edit(id) {
+                if let Some(mut m) = self.cluster.machines.edit(id) {
                     m.full_until = now + START_BACKOFF_MS * 2;
                 }
             }
             _ => {}
         }
-        self.requeue_task(job, index);
+        self.cluster.requeue_task(job, index);
     }
 
     /// Notes the error with the job and with the machine. Errors of a job that fails everywhere say
     /// nothing of the machines that it was tried on.
     fn record_error(&mut self, id: &str, job: &str) {
-        let Some(work) = self.jobs.get_mut(job) else {
+        let Some(work) = self.cluster.jobs.get_mut(job) else {
             return;
         };
         let known_as_broken = work.failures.job_is_broken();
@@ -43,11 +43,11 @@
         }
         if work.failures.job_is_broken() {
             log::warn!("job {job} fails on every machine");
-            return self.machines.edit_all(|m| {
+            return self.cluster.machines.edit_all(|m| {
                 m.failed_jobs.remove(job);
             });
         }
-        if let Some(mut m) = self.machines.edit(id) {
+        if let Some(mut m) = self.cluster.machines.edit(id) {
             m.failed_jobs.insert(job.to_owned());
         }
         self.drain_if_faulty(id);
@@ -55,10 +55,10 @@
 
     /// A machine on which several jobs failed that don't fail elsewhere gets no more work.
     fn drain_if_faulty(&mut self, id: &str) {
-        let Some(machine) = self.machines.get(id) else {
+        let Some(machine) = self.cluster.machines.get(id) else {
             return;
         };
-        let works = &self.jobs;
+        let works = &self.cluster.jobs;
         let weight = |job: &String| match works.get(job) {
             Some(work) if work.done_count == 0 => 1,
             _ => PROVEN_JOB_EVIDENCE,
@@ -67,7 +67,7 @@
         if evidence < FAULTY_MACHINE_EVIDENCE || machine.lifecycle != Lifecycle::Ready {
             return;
         }
-        if let Some(mut m) = self.machines.edit(id) {
+        if let Some(mut m) = self.cluster.machines.edit(id) {
             m.set_lifecycle(Lifecycle::Draining);
         }
     }
@@ -75,15 +75,15 @@
     /// The job waits before its next start. Tasks that fail while it waits already are of the same round.
     /// Nothing of it stays in a queue meanwhile, where it would keep room from others.
     fn delay_retry(&mut self, now: Millis, job: &str) {
-        let Some(work) = self.jobs.get_mut(job) else {
+        let Some(work) = self.cluster.jobs.get_mut(job) else {
             return;
         };
         if now >= work.retry_at {
             work.retry_at = now + work.failures.next_backoff_ms(&mut self.rng);
         }
-        while let Some(index) = self.machines.first_queued(job) {
-            self.dequeue(job, index);
-            self.requeue_task(job, index);
+        while let Some(index) = self.cluster.machines.first_queued(job) {
+            self.cluster.dequeue(job, index);
+            self.cluster.requeue_task(job, index);
         }
     }
 }
--- a/crates/control/src/leader/task_failures_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -9,9 +9,10 @@
     for n in 0..machines {
         let id = machine_id(n);
         leader
+            .cluster
             .machines
             .add(&id, || Machine::new(&id, "small", "a", false, 1_000));
-        if let Some(mut m) = leader.machines.edit(&id) {
+        if let Some(mut m) = leader.cluster.machines.edit(&id) {
             m.set_lifecycle(Lifecycle::Ready);
         }
     }
@@ -23,6 +24,7 @@
 
 fn lifecycle(leader: &Leader, n: usize) -> Lifecycle {
     leader
+        .cluster
         .machines
         .get(&machine_id(n))
         .expect("known")
@@ -45,15 +47,16 @@
     for n in 0..4 {
         assert_eq!(lifecycle(&leader, n), Lifecycle::Ready, "machine {n}");
         assert!(leader
+            .cluster
             .machines
             .get(&machine_id(n))
             .expect("known")
             .failed_jobs
             .is_empty());
-        assert!(!leader.jobs["run-1"].failures.avoids(&machine_id(n)));
+        assert!(!leader.cluster.jobs["run-1"].failures.avoids(&machine_id(n)));
     }
-    assert!(leader.jobs["run-1"].failures.job_is_broken());
-    assert!(!leader.jobs["run-3"].failures.job_is_broken());
+    assert!(leader.cluster.jobs["run-1"].failures.job_is_broken());
+    assert!(!leader.cluster.jobs["run-3"].failures.job_is_broken());
 }
 
 /// A faulty machine is told from broken jobs: jobs whose tasks are done elsewhere fail there.
@@ -61,7 +64,7 @@
 fn a_faulty_machine_is_drained() {
     let mut leader = leader_with(2, &["run-1", "run-2"]);
     for job in ["run-1", "run-2"] {
-        let work = leader.jobs.get_mut(job).expect("submitted");
+        let work = leader.cluster.jobs.get_mut(job).expect("submitted");
         work.done_tasks.set(3);
         work.done_count = 1;
         work.failures.record_success();
@@ -75,7 +78,7 @@
     fail_task(&mut leader, 1_000, 0, "run-2");
     assert_eq!(lifecycle(&leader, 0), Lifecycle::Draining);
     assert_eq!(lifecycle(&leader, 1), Lifecycle::Ready);
-    assert!(leader.jobs["run-1"].failures.avoids(&machine_id(0)));
+    assert!(leader.cluster.jobs["run-1"].failures.avoids(&machine_id(0)));
 }
 
 /// All tasks of a round that failed counted one by one, so that a job of many tasks waited a minute after
@@ -86,7 +89,7 @@
     for _ in 0..4 {
         fail_task(&mut leader, 1_000, 0, "run-1");
     }
-    let wait = leader.jobs["run-1"].retry_at - 1_000;
+    let wait = leader.cluster.jobs["run-1"].retry_at - 1_000;
     assert!(wait <= 2 * START_BACKOFF_MS, "{wait} ms");
 }
 
@@ -98,13 +101,13 @@
     for n in 0..3 {
         fail_task(&mut leader, 100_000 * n as Millis, n, "run-1");
     }
-    if let Some(mut m) = leader.machines.edit(&machine_id(3)) {
+    if let Some(mut m) = leader.cluster.machines.edit(&machine_id(3)) {
         m.queued.push(("run-1".into(), 2));
     }
     fail_task(&mut leader, 400_000, 3, "run-1");
-    assert_eq!(leader.machines.queued_count("run-1"), 0);
-    let retry_at = leader.jobs["run-1"].retry_at;
-    let work = leader.jobs.get_mut("run-1").expect("submitted");
+    assert_eq!(leader.cluster.machines.queued_count("run-1"), 0);
+    let retry_at = leader.cluster.jobs["run-1"].retry_at;
+    let work = leader.cluster.jobs.get_mut("run-1").expect("submitted");
     assert_eq!(work.start_limit(retry_at - 1), 0);
     assert_eq!(work.start_limit(retry_at), 1);
     work.record_start(retry_at);
--- a/crates/control/src/aging.rs
+++ b/crates/control/src/scheduling/aging.rs
@@ -3,10 +3,12 @@
 //! while small work keeps arriving. So from time to time a part of its tasks goes before all
 //! but urgent work: it takes the room there is, and where none fits, one machine's room, or the
 //! team's, is kept for it until it does.
+use super::reservations::AgingReservation;
+use super::state::SchedulingState;
 use crate::api::Millis;
+use crate::cluster::ClusterState;
 use crate::cluster::{JobState, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::collections::HashMap;
 use stonegw_constants::{
     DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS, RESOURCE_EPSILON, STARVATION_MS,
@@ -14,19 +16,26 @@
 };
 use stonegw_wire::msg::JobSpec;
 
-/// What is kept for a job that waited for long.
-#[derive(Clone, Debug, PartialEq)]
-pub enum AgingReservation {
-    Machine(String),
-    /// What its team may still take.
-    TeamLimit(String),
+/// Places jobs that have waited for long.
+pub struct Aging<'a> {
+    cluster: &'a mut ClusterState,
+    scheduling: &'a mut SchedulingState,
 }
 
-impl Leader {
+impl<'a> Aging<'a> {
+    pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
+        Aging {
+            cluster,
+            scheduling,
+        }
+    }
+}
+
+impl Aging<'_> {
     /// Sets down who is owed a start.
     fn update_starved_tasks(&mut self, context: &LeaderContext) {
         let now = context.now.monotonic_ms;
-        for (id, w) in &mut self.jobs {
+        for (id, w) in &mut self.cluster.jobs {
             // No room is kept for a job that fails everywhere.
             let broken = w.failures.job_is_broken();
             if w.pending_tasks.is_empty() || w.end_write_in_flight || w.is_urgent() || broken {
@@ -36,7 +45,9 @@
             let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
             let waited = match w.last_placed_at {
                 Some(at) => now >= at + STARVATION_REPEAT_MS,
-                None if w.done_count > 0 || self.machines.present_tasks(id).next().is_some() => {
+                None if w.done_count > 0
+                    || self.cluster.machines.present_tasks(id).next().is_some() =>
+                {
                     // Begun under an earlier leader.
                     w.last_placed_at = Some(now);
                     false
@@ -53,19 +64,28 @@
     pub fn place_starved(&mut self, context: &LeaderContext) {
         self.update_starved_tasks(context);
         let mut waiting: Vec<(u64, String)> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, w)| w.starved_tasks > 0 && context.now.monotonic_ms >= w.retry_at)
             .map(|(id, w)| (w.submitted_at_ms, id.clone()))
             .collect();
         waiting.sort();
-        let works = &self.jobs;
+        let works = &self.cluster.jobs;
         let owed = |job: &String| works.get(job).is_some_and(|w| w.starved_tasks > 0);
-        self.scheduler.aging_reservations.retain(|job, _| owed(job));
+        self.scheduling
+            .reservations
+            .aging_reservations
+            .retain(|job, _| owed(job));
         for (_, job) in waiting {
             while self.place_starved_task(context, &job) {}
-            if self.jobs.get(&job).is_none_or(|w| w.starved_tasks == 0) {
-                self.scheduler.aging_reservations.remove(&job);
+            if self
+                .cluster
+                .jobs
+                .get(&job)
+                .is_none_or(|w| w.starved_tasks == 0)
+            {
+                self.scheduling.reservations.aging_reservations.remove(&job);
             }
         }
     }
@@ -83,11 +103,11 @@
         };
         let waits = |id: &str, w: &JobState| {
             waited(w) >= DEFERRED_PLACEMENT_MS
-                && (!w.pending_tasks.is_empty() || self.machines.queued_count(id) > 0)
+                && (!w.pending_tasks.is_empty() || self.cluster.machines.queued_count(id) > 0)
                 && !w.end_write_in_flight
                 && now >= w.retry_at
         };
-        let waiting = self.jobs.iter().filter(|(id, w)| waits(id, w));
+        let waiting = self.cluster.jobs.iter().filter(|(id, w)| waits(id, w));
         let queued = |w: &JobState| waited(w) >= DEFERRED_PLACEMENT_QUEUED_MS;
         let waiting = waiting.map(|(id, w)| (w.submitted_at_ms, id.clone(), queued(w)));
         let mut waiting: Vec<(u64, String, bool)> = waiting.collect();
@@ -95,13 +115,13 @@
             return;
         }
         waiting.sort();
-        let roomy = self.machines_with_capacity(context);
+        let roomy = self.cluster.machines_with_capacity(context);
         let kept_for_s = self.backfill_windows_s(context);
         for (_, job, queued) in waiting {
-            let Some(spec) = self.jobs.get(&job).map(|w| w.spec.clone()) else {
+            let Some(spec) = self.cluster.jobs.get(&job).map(|w| w.spec.clone()) else {
                 continue;
             };
-            let run_s = self.scheduler.mean_run_s(&spec);
+            let run_s = self.scheduling.estimates.mean_run_s(&spec);
             // Room kept for another is lent for as long as that one can't start there anyway.
             let lent = |id: &String| queued && kept_for_s.get(id).is_some_and(|s| run_s <= *s);
             let lent: Vec<String> = roomy.iter().filter(|id| lent(id)).cloned().collect();
@@ -113,8 +133,9 @@
     /// for the task it is kept for.
     fn backfill_windows_s(&mut self, context: &LeaderContext) -> HashMap<String, f64> {
         let mut out = HashMap::new();
-        for (job, kept) in &self.scheduler.aging_reservations.clone() {
-            let (AgingReservation::Machine(id), Some(w)) = (kept, self.jobs.get(job)) else {
+        for (job, kept) in &self.scheduling.reservations.aging_reservations.clone() {
+            let (AgingReservation::Machine(id), Some(w)) = (kept, self.cluster.jobs.get(job))
+            else {
                 continue;
             };
             let spec = w.spec.clone();
@@ -133,19 +154,19 @@
         machine: &str,
         spec: &JobSpec,
     ) -> Option<f64> {
-        let m = self.machines.get(machine)?;
+        let m = self.cluster.machines.get(machine)?;
         let (mut cpus, mut gpus, mut memory) =
-            m.free_resources(self.machine_type(&m.machine_type)?);
+            m.free_resources(self.cluster.machine_type(&m.machine_type)?);
         let mut ends: Vec<(f64, f64, f64, f64)> = vec![];
         for p in m.placements.iter().filter(|p| p.is_present()) {
-            let Some(w) = self.jobs.get(&p.job).filter(|w| !w.is_urgent()) else {
+            let Some(w) = self.cluster.jobs.get(&p.job).filter(|w| !w.is_urgent()) else {
                 continue;
             };
             let ran_s = p.running_at.map_or(0.0, |at| {
                 context.now.monotonic_ms.saturating_sub(at) as f64 / 1e3
             });
             // One that has run for longer than the mean may go on for as long again.
-            let left_s = (self.scheduler.mean_run_s(&w.spec) - ran_s).abs();
+            let left_s = (self.scheduling.estimates.mean_run_s(&w.spec) - ran_s).abs();
             ends.push((left_s, p.cpus, p.gpus, p.memory_gb));
         }
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -171,46 +192,56 @@
         lent: &[String],
         queued: bool,
     ) -> bool {
-        let Some(w) = self.jobs.get(job) else {
+        let Some(w) = self.cluster.jobs.get(job) else {
             return false;
         };
-        let held = self.machines.first_queued(job);
+        let held = self.cluster.machines.first_queued(job);
         let Some(index) = w.pending_tasks.first().copied().or(held) else {
             return false;
         };
         let spec = &w.spec;
         let startable = w.start_limit(context.now.monotonic_ms) > 0;
         if !startable
-            || !self.within_limit(context, spec, (0.0, 0.0))
-            || self.is_team_reserved_for_other(spec)
+            || !self.cluster.within_limit(context, spec, (0.0, 0.0))
+            || self
+                .scheduling
+                .reservations
+                .is_team_reserved_for_other(spec)
         {
             return false;
         }
         let takes = |m: &&Machine| {
             (queued || m.queued.is_empty())
-                && self.has_capacity(m, spec)
-                && self.is_eligible(context, m, w)
-                && (!self.is_reserved_for_other(&m.id, job) || lent.contains(&m.id))
-                && !self.is_being_cleared(context.now.monotonic_ms, &m.id)
+                && self.cluster.has_capacity(m, spec)
+                && self.cluster.is_eligible(context, m, w)
+                && (!self.scheduling.reservations.is_reserved_for_other(
+                    &self.cluster.jobs,
+                    &m.id,
+                    job,
+                ) || lent.contains(&m.id))
+                && !self
+                    .scheduling
+                    .reservations
+                    .is_being_cleared(context.now.monotonic_ms, &m.id)
         };
-        let fit = roomy.iter().filter_map(|id| self.machines.get(id));
+        let fit = roomy.iter().filter_map(|id| self.cluster.machines.get(id));
         let fit = fit.filter(takes);
-        let fit = fit.min_by_key(|m| (!m.queued.is_empty(), self.first_fit_key(m, spec)));
+        let fit = fit.min_by_key(|m| (!m.queued.is_empty(), self.cluster.first_fit_key(m, spec)));
         let Some(id) = fit.map(|m| m.id.clone()) else {
             return false;
         };
         log::debug!("{job}/{index} was put off for long and takes room on {id}");
-        self.dequeue(job, index);
-        let placed = self.place_task(&id, job, index);
+        self.cluster.dequeue(job, index);
+        let placed = self.cluster.place_task(&id, job, index);
         if !placed {
-            self.requeue_task(job, index);
+            self.cluster.requeue_task(job, index);
         }
         placed
     }
 
     /// Places one task that is owed. False: there is none, or no room for it yet.
     fn place_starved_task(&mut self, context: &LeaderContext, job: &str) -> bool {
-        let Some(w) = self.jobs.get(job).filter(|w| w.starved_tasks > 0) else {
+        let Some(w) = self.cluster.jobs.get(job).filter(|w| w.starved_tasks > 0) else {
             return false;
         };
         let Some(index) = w
@@ -223,37 +254,47 @@
             return false;
         }
         let spec = w.spec.clone();
-        if !self.within_limit(context, &spec, (0.0, 0.0)) {
+        if !self.cluster.within_limit(context, &spec, (0.0, 0.0)) {
             let kept = AgingReservation::TeamLimit(spec.team);
-            self.scheduler.aging_reservations.insert(job.into(), kept);
+            self.scheduling
+                .reservations
+                .aging_reservations
+                .insert(job.into(), kept);
             return false;
         }
         let fit = self
+            .cluster
             .machines
             .values()
             .filter(|m| {
-                self.has_capacity(m, &spec)
-                    && self.is_eligible(context, m, w)
-                    && !self.is_reserved_for_other(&m.id, job)
+                self.cluster.has_capacity(m, &spec)
+                    && self.cluster.is_eligible(context, m, w)
+                    && !self.scheduling.reservations.is_reserved_for_other(
+                        &self.cluster.jobs,
+                        &m.id,
+                        job,
+                    )
             })
-            .min_by_key(|m| self.first_fit_key(m, &spec))
+            .min_by_key(|m| self.cluster.first_fit_key(m, &spec))
             .map(|m| m.id.clone());
         if let Some(id) = fit {
-            return self.place_task(&id, job, index);
+            return self.cluster.place_task(&id, job, index);
         }
         let usable = |id: &str| {
-            self.machines
+            self.cluster
+                .machines
                 .get(id)
-                .is_some_and(|m| self.is_eligible(context, m, w))
+                .is_some_and(|m| self.cluster.is_eligible(context, m, w))
         };
-        if matches!(self.scheduler.aging_reservations.get(job), Some(AgingReservation::Machine(id)) if usable(id))
+        if matches!(self.scheduling.reservations.aging_reservations.get(job), Some(AgingReservation::Machine(id)) if usable(id))
         {
             return false;
         }
-        self.scheduler.aging_reservations.remove(job);
+        self.scheduling.reservations.aging_reservations.remove(job);
         if let Some(id) = self.machine_for_aging_reservation(context, job, w) {
             log::info!("{job} waited for long: room on {id} is kept for it");
-            self.scheduler
+            self.scheduling
+                .reservations
                 .aging_reservations
                 .insert(job.into(), AgingReservation::Machine(id));
         }
@@ -269,50 +310,30 @@
     ) -> Option<String> {
         let spec = &w.spec;
         let holds = |m: &Machine| {
-            self.machine_type(&m.machine_type).is_some_and(|t| {
+            self.cluster.machine_type(&m.machine_type).is_some_and(|t| {
                 t.cpus + RESOURCE_EPSILON >= spec.cpus
                     && t.gpus + RESOURCE_EPSILON >= spec.gpus
                     && t.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
             })
         };
-        self.machines
+        self.cluster
+            .machines
             .values()
             .filter(|m| {
                 holds(m)
-                    && self.is_eligible(context, m, w)
-                    && !self.is_reserved_for_other(&m.id, job)
+                    && self.cluster.is_eligible(context, m, w)
+                    && !self.scheduling.reservations.is_reserved_for_other(
+                        &self.cluster.jobs,
+                        &m.id,
+                        job,
+                    )
             })
             .min_by_key(|m| {
                 (
-                    (self.urgent_usage(m).0 * 1e3) as i64,
+                    (self.cluster.urgent_usage(m).0 * 1e3) as i64,
                     (m.used_resources().0 * 1e3) as Millis,
                 )
             })
             .map(|m| m.id.clone())
     }
-
-    /// What urgent work takes of a machine, which does not end by itself.
-    pub fn urgent_usage(&self, m: &Machine) -> (f64, f64, f64) {
-        let urgent = |job: &str| self.jobs.get(job).is_some_and(JobState::is_urgent);
-        let stay = m.placements.iter();
-        let stay = stay.filter(|p| p.is_present() && urgent(&p.job));
-        stay.fold((0.0, 0.0, 0.0), |(c, g, mem), p| {
-            (c + p.cpus, g + p.gpus, mem + p.memory_gb)
-        })
-    }
-
-    /// Whether a machine's room is kept for another job.
-    pub fn is_reserved_for_other(&self, machine: &str, job: &str) -> bool {
-        let mut kept = self.scheduler.aging_reservations.iter();
-        kept.any(|(j, k)| j != job && matches!(k, AgingReservation::Machine(m) if m == machine))
-            || self.is_gang_reserved_for_other(machine, job)
-    }
-
-    /// Whether what its team may still take is kept for another job.
-    pub fn is_team_reserved_for_other(&self, spec: &JobSpec) -> bool {
-        let mut kept = self.scheduler.aging_reservations.iter();
-        kept.any(|(j, k)| {
-            *j != spec.id && matches!(k, AgingReservation::TeamLimit(t) if *t == spec.team)
-        }) || self.is_team_gang_reserved_for_other(&spec.team, &spec.id)
-    }
 }
--- a/crates/control/src/scheduler/deadline_placement.rs
+++ b/crates/control/src/scheduling/deadline_placement.rs
@@ -1,10 +1,12 @@
 //! One mapping event: deadline work goes to the machines where it has the best chance.
-use super::machine_queues::{MachineQueue, OnTimeAverage};
-use super::{image_fetch_s_per_gb, PlacementRank};
+use super::machine_queues::{machine_queues, MachineQueue, OnTimeAverage};
+use super::state::PlacementRank;
+use super::state::SchedulingState;
+use crate::cluster::image_fetch_s_per_gb;
+use crate::cluster::ClusterState;
 use crate::cluster::Machine;
 use crate::cluster::{is_immediate, zone_allows};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
 use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE};
@@ -87,20 +89,35 @@
     queued_by_team: HashMap<String, (f64, f64)>,
 }
 
-impl Leader {
+/// Places tasks with a deadline where their chance to be in time is best.
+pub struct DeadlinePlacement<'a> {
+    cluster: &'a mut ClusterState,
+    scheduling: &'a mut SchedulingState,
+}
+
+impl<'a> DeadlinePlacement<'a> {
+    pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
+        DeadlinePlacement {
+            cluster,
+            scheduling,
+        }
+    }
+}
+
+impl DeadlinePlacement<'_> {
     /// One mapping event.
     pub(super) fn place_deadline_jobs(&mut self, context: &LeaderContext) {
         self.record_deadline_misses(context.now.wall_ms);
         let mut robustness = OnTimeAverage::default();
-        let mut seats = self.machine_queues(context, &mut robustness);
+        let mut seats = machine_queues(self.cluster, self.scheduling, context, &mut robustness);
         let mut images = ImageIds::default();
         let mut candidates = self.deadline_candidates(context, &seats, &mut images);
         for s in &mut seats {
-            if let Some(m) = self.machines.get(&s.id) {
+            if let Some(m) = self.cluster.machines.get(&s.id) {
                 s.refresh_images(
                     m,
                     &images,
-                    self.catalog.machine_types[s.machine_type_index].fetch_gb_per_s,
+                    self.cluster.catalog.machine_types[s.machine_type_index].fetch_gb_per_s,
                 );
             }
         }
@@ -124,7 +141,7 @@
     /// Misses since the last mapping feed the toggle.
     fn record_deadline_misses(&mut self, wall_ms: u64) {
         let mut misses = 0;
-        for w in self.jobs.values_mut() {
+        for w in self.cluster.jobs.values_mut() {
             if !w.deadline_missed && w.seconds_to_deadline(wall_ms).is_some_and(|d| d <= 0.0) {
                 w.deadline_missed = true;
                 // That a job fails everywhere tells nothing of the load.
@@ -134,13 +151,13 @@
                 misses += (w.spec.task_count - w.done_count) as usize;
             }
         }
-        let was = self.scheduler.pruner.overload_toggle;
-        self.scheduler.pruner.record_misses(misses);
-        if was != self.scheduler.pruner.overload_toggle {
+        let was = self.scheduling.pruner.overload_toggle;
+        self.scheduling.pruner.record_misses(misses);
+        if was != self.scheduling.pruner.overload_toggle {
             log::info!(
                 "pruning toggle {:?} -> {:?}",
                 was,
-                self.scheduler.pruner.overload_toggle
+                self.scheduling.pruner.overload_toggle
             );
         }
     }
@@ -162,7 +179,7 @@
                 now_free + MAX_QUEUED_TASKS_PER_MACHINE.saturating_sub(s.forecast.queued_count)
             })
             .sum();
-        let pruner = &mut self.scheduler.pruner;
+        let pruner = &mut self.scheduling.pruner;
         let old = pruner.deferring_threshold;
         let passing = candidates
             .iter()
@@ -216,8 +233,13 @@
             }
             let e = mapping.queued_by_team.get(&c.spec.team).copied();
             let e = e.unwrap_or_default();
-            if self.within_limit(context, &c.spec, e) && !self.is_team_reserved_for_other(&c.spec) {
-                c.rank.1 = self.within_quota(context, &c.spec, e);
+            if self.cluster.within_limit(context, &c.spec, e)
+                && !self
+                    .scheduling
+                    .reservations
+                    .is_team_reserved_for_other(&c.spec)
+            {
+                c.rank.1 = self.cluster.within_quota(context, &c.spec, e);
                 open[i] = true;
                 rank = rank.max(Some(c.rank));
             }
@@ -246,7 +268,10 @@
             c.best_placement = None;
             return ControlFlow::Continue(());
         };
-        let (Some(w), Some(m)) = (self.jobs.get(&c.spec.id), self.machines.get(&seat.id)) else {
+        let (Some(w), Some(m)) = (
+            self.cluster.jobs.get(&c.spec.id),
+            self.cluster.machines.get(&seat.id),
+        ) else {
             return ControlFlow::Break(());
         };
         let Some(index) = w.next_unpruned() else {
@@ -258,12 +283,14 @@
             return ControlFlow::Continue(());
         };
         let end = match &start.wait {
-            None => runs.distribution.shift(self.image_fetch_s(m, &c.spec)),
+            None => runs
+                .distribution
+                .shift(self.cluster.image_fetch_s(m, &c.spec)),
             Some(at) => at.distribution.convolve(&runs.distribution),
         };
         let (id, job) = (seat.id.clone(), c.spec.id.clone());
         if start.wait.is_none() {
-            if !self.place_task(&id, &job, index) {
+            if !self.cluster.place_task(&id, &job, index) {
                 return ControlFlow::Continue(());
             }
         } else {
@@ -272,34 +299,24 @@
                 .entry(c.spec.team.clone())
                 .or_default();
             *e = (e.0 + cpus, e.1 + gpus);
-            self.enqueue(&id, job, index);
+            self.cluster.enqueue(&id, job, index);
         }
         seat.forecast.add_task(&start, end, cpus, gpus, memory);
         seat.change_count += 1;
-        if let Some(m) = self.machines.get(&id) {
-            let rate = self.catalog.machine_types[seat.machine_type_index].fetch_gb_per_s;
+        if let Some(m) = self.cluster.machines.get(&id) {
+            let rate = self.cluster.catalog.machine_types[seat.machine_type_index].fetch_gb_per_s;
             seat.refresh_images(m, &mapping.image_ids, rate);
         }
         ControlFlow::Continue(())
     }
 
-    /// Puts a waiting task in a machine's queue.
-    fn enqueue(&mut self, machine: &str, job: String, index: u32) {
-        if let Some(w) = self.jobs.get_mut(&job) {
-            w.remove_pending(index);
-        }
-        if let Some(mut m) = self.machines.edit(machine) {
-            m.queued.push((job, index));
-        }
-    }
-
     /// Whether a job's best machine is still in a zone where the job may go.
     fn is_best_zone_allowed(&self, seats: &[MachineQueue], c: &DeadlineCandidate) -> bool {
         let place = c
             .best_placement
-            .and_then(|b| self.machines.get(&seats[b.queue_index].id));
-        let work = self.jobs.get(&c.spec.id);
-        matches!((place, work), (Some(m), Some(w)) if zone_allows(&self.machines, w, &m.zone))
+            .and_then(|b| self.cluster.machines.get(&seats[b.queue_index].id));
+        let work = self.cluster.jobs.get(&c.spec.id);
+        matches!((place, work), (Some(m), Some(w)) if zone_allows(&self.cluster.machines, w, &m.zone))
     }
 
     /// What waits and may still be in time, a job standing for its like tasks.
@@ -310,12 +327,12 @@
         images: &mut ImageIds,
     ) -> Vec<DeadlineCandidate> {
         let now = context.now.monotonic_ms;
-        let mut present = vec![false; self.catalog.machine_types.len()];
+        let mut present = vec![false; self.cluster.catalog.machine_types.len()];
         for s in seats {
             present[s.machine_type_index] = true;
         }
         let mut out = vec![];
-        for w in self.jobs.values() {
+        for w in self.cluster.jobs.values() {
             if is_immediate(w)
                 || w.end_write_in_flight
                 || w.start_limit(now) == 0
@@ -333,8 +350,9 @@
             if left == 0 {
                 continue;
             }
-            let sched = &mut self.scheduler;
+            let estimates = &mut self.scheduling.estimates;
             let runs = self
+                .cluster
                 .catalog
                 .machine_types
                 .iter()
@@ -346,7 +364,7 @@
                         .as_ref()
                         .is_none_or(|l| l.contains(&t.name));
                     (*here && suits).then(|| {
-                        let r = sched.run_time_histogram(&w.spec, &t.name);
+                        let r = estimates.run_time_histogram(&w.spec, &t.name);
                         RunTimeEstimate {
                             distribution: r.distribution().clone(),
                             cumulative: r.cumulative().clone(),
@@ -373,7 +391,7 @@
         seats: &mut [MachineQueue],
         c: &DeadlineCandidate,
     ) -> Option<BestPlacement> {
-        let w = self.jobs.get(&c.spec.id)?;
+        let w = self.cluster.jobs.get(&c.spec.id)?;
         let spec = &c.spec;
         let mut best: Option<BestPlacement> = None;
         for (i, seat) in seats.iter_mut().enumerate() {
@@ -423,9 +441,13 @@
             };
             let better = best.as_ref().is_none_or(|b| offer.is_better_than(&b.score));
             let suits = || {
-                let m = self.machines.get(&seat.id);
-                m.is_some_and(|m| self.meets_constraints(m, w))
-                    && !self.is_reserved_for_other(&seat.id, &spec.id)
+                let m = self.cluster.machines.get(&seat.id);
+                m.is_some_and(|m| self.cluster.meets_constraints(m, w))
+                    && !self.scheduling.reservations.is_reserved_for_other(
+                        &self.cluster.jobs,
+                        &seat.id,
+                        &spec.id,
+                    )
             };
             if better && suits() {
                 best = Some(BestPlacement {
--- a/crates/control/src/scheduler/first_fit.rs
+++ b/crates/control/src/scheduling/first_fit.rs
@@ -1,9 +1,11 @@
 //! First fit: urgent work at once, and leftover room for work without a deadline, late or dropped.
-use super::PlacementRank;
+use super::preemption::Preemption;
+use super::state::PlacementRank;
+use super::state::SchedulingState;
 use crate::cluster::is_immediate;
+use crate::cluster::ClusterState;
 use crate::cluster::{JobState, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use stonegw_constants::URGENT_RESERVATION_WAIT_MS;
 use stonegw_wire::msg::JobSpec;
 
@@ -79,7 +81,22 @@
     }
 }
 
-impl Leader {
+/// Places tasks first fit.
+pub struct FirstFit<'a> {
+    cluster: &'a mut ClusterState,
+    scheduling: &'a mut SchedulingState,
+}
+
+impl<'a> FirstFit<'a> {
+    pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
+        FirstFit {
+            cluster,
+            scheduling,
+        }
+    }
+}
+
+impl FirstFit<'_> {
     /// Machines that take a task, the best first fit last.
     fn machines_by_first_fit(
         &self,
@@ -87,10 +104,10 @@
         spec: &JobSpec,
         takes: impl Fn(&Machine) -> bool,
     ) -> Vec<String> {
-        let machines = roomy.iter().filter_map(|id| self.machines.get(id));
+        let machines = roomy.iter().filter_map(|id| self.cluster.machines.get(id));
         let fitting = machines.filter(|m| takes(m));
         let mut keyed: Vec<_> = fitting
-            .map(|m| (self.first_fit_key(m, spec), m.id.clone()))
+            .map(|m| (self.cluster.first_fit_key(m, spec), m.id.clone()))
             .collect();
         keyed.sort_by(|a, b| b.cmp(a));
         keyed.into_iter().map(|(_, id)| id).collect()
@@ -99,20 +116,30 @@
     /// Starts held tasks for which room has become free.
     pub fn dispatch_queued(&mut self, context: &LeaderContext, id: &str) {
         loop {
-            let Some(m) = self.machines.get(id) else {
+            let Some(m) = self.cluster.machines.get(id) else {
                 return;
             };
             let Some((job, index)) = m.queued.first().cloned() else {
                 return;
             };
-            let start = match self.jobs.get(&job) {
+            let start = match self.cluster.jobs.get(&job) {
                 Some(w) => {
-                    if !self.has_capacity(m, &w.spec)
-                        || !self.is_eligible(context, m, w)
-                        || !self.within_limit(context, &w.spec, (0.0, 0.0))
-                        || self.is_reserved_for_other(id, &job)
-                        || self.is_team_reserved_for_other(&w.spec)
-                        || self.is_being_cleared(context.now.monotonic_ms, id)
+                    if !self.cluster.has_capacity(m, &w.spec)
+                        || !self.cluster.is_eligible(context, m, w)
+                        || !self.cluster.within_limit(context, &w.spec, (0.0, 0.0))
+                        || self.scheduling.reservations.is_reserved_for_other(
+                            &self.cluster.jobs,
+                            id,
+                            &job,
+                        )
+                        || self
+                            .scheduling
+                            .reservations
+                            .is_team_reserved_for_other(&w.spec)
+                        || self
+                            .scheduling
+                            .reservations
+                            .is_being_cleared(context.now.monotonic_ms, id)
                     {
                         return;
                     }
@@ -120,30 +147,22 @@
                 }
                 None => false,
             };
-            if let Some(mut m) = self.machines.edit(id) {
+            if let Some(mut m) = self.cluster.machines.edit(id) {
                 m.queued.remove(0);
             }
-            if start && !self.place_task(id, &job, index) {
-                self.requeue_task(&job, index);
+            if start && !self.cluster.place_task(id, &job, index) {
+                self.cluster.requeue_task(&job, index);
                 return;
             }
         }
     }
 
-    /// First fit: the soonest start, then the cheaper machine, then the tighter fit.
-    pub fn first_fit_key(&self, m: &Machine, spec: &JobSpec) -> (i64, i64, i64) {
-        let kind = self.machine_type(&m.machine_type);
-        let free = kind.map_or(0.0, |t| m.free_resources(t).0);
-        let price = kind.map_or(0.0, |t| t.price_per_cpu(m.spot));
-        let fetch = self.image_fetch_s(m, spec).round() as i64;
-        (fetch, (price * 1e4) as i64, (free * 100.0) as i64)
-    }
-
     /// First fit for work without a deadline, late or dropped. `urgent`: only what may not wait
     /// for the next mapping; it may also push lesser work aside.
     pub(super) fn place_first_fit(&mut self, context: &LeaderContext, urgent: bool) {
         let now = context.now.monotonic_ms;
         let mut order: Vec<(PlacementRank, u32, u64, String)> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, w)| {
@@ -162,7 +181,7 @@
             .map(|(id, w)| {
                 let rank = (
                     w.spec.priority,
-                    self.within_quota(context, &w.spec, (0.0, 0.0)),
+                    self.cluster.within_quota(context, &w.spec, (0.0, 0.0)),
                 );
                 (rank, backlog_rank(w), w.submitted_at_ms, id.clone())
             })
@@ -171,31 +190,47 @@
         if order.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(context);
+        let roomy = self.cluster.machines_with_capacity(context);
         let mut pools = CandidatePools::default();
         // Room that is being made for some of them already.
-        let mut claims = self.refresh_preemption_claims(now);
+        let mut claims =
+            Preemption::new(self.cluster, self.scheduling).refresh_preemption_claims(now);
         let mut none: Vec<PlacementConstraints> = vec![];
         let mut hopeless: Vec<PlacementConstraints> = vec![];
         for (_, _, _, job) in order {
-            let Some(shape) = self.jobs.get(&job).map(PlacementConstraints::of_job) else {
+            let Some(shape) = self
+                .cluster
+                .jobs
+                .get(&job)
+                .map(PlacementConstraints::of_job)
+            else {
                 continue;
             };
             let full = shape.as_ref().is_some_and(|s| none.contains(s));
             if !full && self.place_job_first_fit(context, &job, urgent, &roomy, &mut pools) {
                 continue;
             }
-            let Some(w) = self.jobs.get(&job) else {
+            let Some(w) = self.cluster.jobs.get(&job) else {
                 continue;
             };
-            let making = self.scheduler.preemption_plans.iter().any(|m| m.job == job);
+            let making = self
+                .scheduling
+                .reservations
+                .preemption_plans
+                .iter()
+                .any(|m| m.job == job);
             let hopeless_now = shape.as_ref().is_some_and(|s| hopeless.contains(s));
             if urgent
                 && !w.failures.job_is_broken()
                 && !making
                 && !hopeless_now
-                && self.within_limit(context, &w.spec, (0.0, 0.0))
-                && !self.preempt(context, &job, &mut claims, false)
+                && self.cluster.within_limit(context, &w.spec, (0.0, 0.0))
+                && !Preemption::new(self.cluster, self.scheduling).preempt(
+                    context,
+                    &job,
+                    &mut claims,
+                    false,
+                )
             {
                 hopeless.extend(shape.clone());
             }
@@ -214,7 +249,7 @@
     ) -> bool {
         let mut target: Option<String> = None;
         loop {
-            let Some(w) = self.jobs.get(job) else {
+            let Some(w) = self.cluster.jobs.get(job) else {
                 return true;
             };
             if w.start_limit(context.now.monotonic_ms) == 0 {
@@ -230,8 +265,12 @@
             };
             let Some(index) = index else { return true };
             let spec = &w.spec;
-            if !self.within_limit(context, spec, (0.0, 0.0))
-                || !urgent && self.is_team_reserved_for_other(spec)
+            if !self.cluster.within_limit(context, spec, (0.0, 0.0))
+                || !urgent
+                    && self
+                        .scheduling
+                        .reservations
+                        .is_team_reserved_for_other(spec)
             {
                 return true;
             }
@@ -241,20 +280,34 @@
             let spares_gangs = takes_kept && age < URGENT_RESERVATION_WAIT_MS;
             let takes = |m: &Machine| {
                 (m.queued.is_empty() || urgent)
-                    && self.has_capacity(m, spec)
-                    && self.is_eligible(context, m, w)
-                    && (takes_kept || !self.is_reserved_for_other(&m.id, job))
-                    && (urgent || !self.is_being_cleared(context.now.monotonic_ms, &m.id))
-                    && !(spares_gangs && self.is_gang_reserved_for_other(&m.id, job))
+                    && self.cluster.has_capacity(m, spec)
+                    && self.cluster.is_eligible(context, m, w)
+                    && (takes_kept
+                        || !self.scheduling.reservations.is_reserved_for_other(
+                            &self.cluster.jobs,
+                            &m.id,
+                            job,
+                        ))
+                    && (urgent
+                        || !self
+                            .scheduling
+                            .reservations
+                            .is_being_cleared(context.now.monotonic_ms, &m.id))
+                    && !(spares_gangs
+                        && self.scheduling.reservations.is_gang_reserved_for_other(
+                            &self.cluster.jobs,
+                            &m.id,
+                            job,
+                        ))
             };
             // Once one of its tasks is there, a machine is the best for the next as well.
             let same = target
                 .take()
-                .filter(|id| self.machines.get(id).is_some_and(takes));
+                .filter(|id| self.cluster.machines.get(id).is_some_and(takes));
             let find = || self.machines_by_first_fit(roomy, spec, takes);
             target = same.or_else(|| match pools.get_or_build(w, find) {
                 Some(pool) => {
-                    let full = |id: &String| !self.machines.get(id).is_some_and(takes);
+                    let full = |id: &String| !self.cluster.machines.get(id).is_some_and(takes);
                     while pool.machines.last().is_some_and(full) {
                         pool.machines.pop();
                     }
@@ -264,7 +317,7 @@
             });
             let Some(id) = &target else { return false };
             let id = id.clone();
-            if !self.place_task(&id, job, index) {
+            if !self.cluster.place_task(&id, job, index) {
                 return false;
             }
         }
--- a/crates/control/src/gang/mod.rs
+++ b/crates/control/src/scheduling/gang_lifecycle.rs
@@ -4,97 +4,15 @@
 //! stored before the first `run` goes out, and when one task of the attempt is lost the whole
 //! attempt ends. The next attempt begins only once every task of the last is proven gone, so a
 //! task never runs twice and limits and zones need no exception. A gang's waiting tasks are not
-//! in `Work::pending`: nothing that places single tasks can take one of them.
-//!
-//! `place` chooses machines and places an attempt whole, `reserve` keeps or makes room for one.
+//! in `JobState::pending_tasks`: nothing that places single tasks can take one of them.
+use super::estimates::RunTimeEstimates;
 use crate::api::Millis;
-use crate::cluster::{JobState, Phase};
+use crate::cluster::ClusterState;
+use crate::cluster::{GangState, Phase};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
-use crate::pause::Pause;
 use std::collections::BTreeSet;
 use stonegw_constants::{ATTEMPTS_PER_TERM, GANG_CHECK_INTERVAL_MS, STOP_GRACE_MARGIN_S};
 
-mod placement;
-mod reservation;
-
-pub use reservation::GangReservation;
-
-/// The life of a gang.
-///
-/// `Waiting` -> `Storing` -> `Gathering` -> `Running`; from each of these `Ending`, and from there
-/// `Waiting` again. A gang that is done or cancelled leaves with its job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GangState {
-    /// No task of it may be on a machine: it can be placed.
-    Waiting,
-    /// An attempt's placements are being stored; nothing of it has been sent.
-    Storing { attempt: u64 },
-    /// All placements are stored. Its tasks are started, fetch their image and wait for each other.
-    Starting { attempt: u64 },
-    /// All its tasks were seen running.
-    Running { attempt: u64, running_since: Millis },
-    /// The attempt is over or being stopped; some of its tasks are not proven gone.
-    Ending,
-}
-
-/// What the leader holds of a gang besides its job.
-#[derive(Clone, Debug)]
-pub struct Gang {
-    pub state: GangState,
-    /// The pruner dropped it: it runs in leftover room.
-    pub is_dropped: bool,
-    /// When its last attempt had ended.
-    last_attempt_ended_at: Option<Millis>,
-    /// Attempts that this leader began.
-    attempts_begun: u32,
-    /// A pause of this process fell into its run: how long it takes is not known.
-    is_run_untimed: bool,
-    /// Since when room is reserved for it.
-    reserved_since: Option<Millis>,
-    /// No room is reserved for it before.
-    reservation_allowed_at: Millis,
-}
-
-impl Default for Gang {
-    fn default() -> Self {
-        Gang {
-            state: GangState::Waiting,
-            is_dropped: false,
-            last_attempt_ended_at: None,
-            attempts_begun: 0,
-            is_run_untimed: false,
-            reserved_since: None,
-            reservation_allowed_at: 0,
-        }
-    }
-}
-
-impl Gang {
-    /// The leader's process ran again after a pause: its waits go on from here.
-    pub fn resume(&mut self, pause: Pause) {
-        if let GangState::Running {
-            running_since: since,
-            ..
-        } = &mut self.state
-        {
-            pause.shift(since);
-            self.is_run_untimed = true;
-        }
-        pause.shift_if_set(&mut self.last_attempt_ended_at);
-        pause.shift_if_set(&mut self.reserved_since);
-        pause.shift(&mut self.reservation_allowed_at);
-    }
-
-    /// The one place where a gang's state changes.
-    fn set_state(&mut self, job: &str, to: GangState) {
-        if self.state != to {
-            log::debug!("gang {job} {:?} -> {to:?}", self.state);
-            self.state = to;
-        }
-    }
-}
-
 /// A task of a gang that may be on a machine.
 #[derive(Clone, Debug)]
 struct GangMember {
@@ -132,12 +50,23 @@
     }
 }
 
-impl Leader {
+/// Takes gangs from state to state as their tasks change, and stops them whole.
+pub struct GangLifecycle<'a> {
+    cluster: &'a mut ClusterState,
+}
+
+impl<'a> GangLifecycle<'a> {
+    pub fn new(cluster: &'a mut ClusterState) -> Self {
+        GangLifecycle { cluster }
+    }
+}
+
+impl GangLifecycle<'_> {
     /// A gang's tasks that may be on machines, of any attempt.
     fn gang_members(&self, job: &str) -> Vec<GangMember> {
         let mut members = vec![];
-        for id in self.machines.machines_of_job(job) {
-            let placements = self.machines.get(&id).into_iter();
+        for id in self.cluster.machines.machines_of_job(job) {
+            let placements = self.cluster.machines.get(&id).into_iter();
             let placements = placements.flat_map(|m| &m.placements);
             for p in placements.filter(|p| p.job == job && p.is_present()) {
                 members.push(GangMember {
@@ -155,12 +84,12 @@
     /// Takes every gang to the state that follows from its tasks.
     pub fn advance_gangs(&mut self, context: &LeaderContext) {
         let now = context.now.monotonic_ms;
-        if !self.gangs_changed && now < self.next_gang_check_at {
+        if !self.cluster.gangs_changed && now < self.cluster.next_gang_check_at {
             return;
         }
-        self.gangs_changed = false;
-        self.next_gang_check_at = now + GANG_CHECK_INTERVAL_MS;
-        let gangs = self.jobs.iter().filter(|(_, w)| w.gang.is_some());
+        self.cluster.gangs_changed = false;
+        self.cluster.next_gang_check_at = now + GANG_CHECK_INTERVAL_MS;
+        let gangs = self.cluster.jobs.iter().filter(|(_, w)| w.gang.is_some());
         let gangs: Vec<String> = gangs.map(|(id, _)| id.clone()).collect();
         for job in gangs {
             self.advance_gang(context, &job);
@@ -170,7 +99,7 @@
     fn advance_gang(&mut self, context: &LeaderContext, job: &str) {
         let now = context.now.monotonic_ms;
         let members = self.gang_members(job);
-        let Some(work) = self.jobs.get_mut(job) else {
+        let Some(work) = self.cluster.jobs.get_mut(job) else {
             return;
         };
         let tasks = work.spec.task_count;
@@ -184,7 +113,7 @@
             _ if done => {}
             GangState::Waiting if before != GangState::Waiting => {
                 gang.last_attempt_ended_at = Some(now);
-                self.scheduling_needed = true;
+                self.cluster.scheduling_needed = true;
             }
             GangState::Waiting | GangState::Storing { .. } => {}
             GangState::Starting { attempt } => {
@@ -205,7 +134,7 @@
     /// All placements of the attempt are stored: its `run` commands may go out.
     fn mark_startable(&mut self, job: &str, attempt: u64, members: &[GangMember]) {
         for member in members.iter().filter(|m| m.phase == Phase::Stored) {
-            let Some(mut machine) = self.machines.edit(&member.machine) else {
+            let Some(mut machine) = self.cluster.machines.edit(&member.machine) else {
                 continue;
             };
             let of_attempt = machine
@@ -223,26 +152,28 @@
         job: &str,
         members: &[GangMember],
     ) -> bool {
-        let Some(work) = self.jobs.get(job) else {
+        let Some(work) = self.cluster.jobs.get(job) else {
             return false;
         };
         let stop_s = work.spec.checkpoint_duration_s
             + context.settings.gang_loss_detection_s
             + STOP_GRACE_MARGIN_S;
         let last_moment = context.now.monotonic_ms + (stop_s * 1e3) as Millis;
-        let mut machines = members.iter().filter_map(|m| self.machines.get(&m.machine));
+        let mut machines = members
+            .iter()
+            .filter_map(|m| self.cluster.machines.get(&m.machine));
         machines.any(|m| m.eviction_at.is_some_and(|gone_at| last_moment >= gone_at))
     }
 
     fn can_checkpoint(&self, job: &str) -> bool {
-        let work = self.jobs.get(job);
+        let work = self.cluster.jobs.get(job);
         work.is_some_and(|w| w.spec.checkpoint_interval_s > 0.0)
     }
 
     /// Stops the whole gang. Where every machine of it can be reached its tasks save.
     pub fn stop_gang(&mut self, context: &LeaderContext, job: &str) {
         let members = self.gang_members(job);
-        let Some(work) = self.jobs.get(job) else {
+        let Some(work) = self.cluster.jobs.get(job) else {
             return;
         };
         let running = work
@@ -258,14 +189,14 @@
         };
         log::info!("gang {job} is stopped, {grace_s} s to save");
         self.stop_gang_members(&members, job, grace_s);
-        self.gangs_changed = true;
+        self.cluster.gangs_changed = true;
     }
 
     /// Whether a command to each of these machines would most likely arrive at once. A stop that
     /// reaches only some of a gang's tasks in time saves nothing.
     fn are_all_reachable(&self, context: &LeaderContext, members: &[GangMember]) -> bool {
         members.iter().all(|member| {
-            self.machines.get(&member.machine).is_some_and(|m| {
+            self.cluster.machines.get(&member.machine).is_some_and(|m| {
                 let heard = !m.is_silent(
                     context.now.monotonic_ms,
                     context.settings.heartbeat_interval_s,
@@ -278,7 +209,7 @@
 
     fn stop_gang_members(&mut self, members: &[GangMember], job: &str, grace_s: f64) {
         for member in members.iter().filter(|m| !m.is_stopping) {
-            let Some(mut machine) = self.machines.edit(&member.machine) else {
+            let Some(mut machine) = self.cluster.machines.edit(&member.machine) else {
                 continue;
             };
             let of_gang = machine
@@ -293,8 +224,14 @@
 
     /// One task of a gang was done, so all are: they complete together. The gang counts as one
     /// observation of its run time, and only if all of the run was seen.
-    pub fn finish_gang(&mut self, now: Millis, job: &str, machine_type: &str) {
-        let Some(work) = self.jobs.get_mut(job) else {
+    pub fn finish_gang(
+        &mut self,
+        estimates: &mut RunTimeEstimates,
+        now: Millis,
+        job: &str,
+        machine_type: &str,
+    ) {
+        let Some(work) = self.cluster.jobs.get_mut(job) else {
             return;
         };
         for index in 0..work.spec.task_count {
@@ -306,36 +243,19 @@
                 attempt,
                 running_since: since,
             } if gang.attempts_begun == 1 && !gang.is_run_untimed => {
-                let ours = attempt / ATTEMPTS_PER_TERM == self.term;
+                let ours = attempt / ATTEMPTS_PER_TERM == self.cluster.term;
                 ours.then(|| now.saturating_sub(since) as f64 / 1e3)
             }
             _ => None,
         });
         if let Some(run_s) = first_attempt_run {
             let spec = work.spec.clone();
-            self.scheduler.record_run(&spec, machine_type, run_s);
+            estimates.record_run(&spec, machine_type, run_s);
         }
-        self.jobs_to_store.insert(job.to_owned());
-    }
-}
-
-impl JobState {
-    /// Whether it is a gang that can be placed, as far as its tasks are concerned.
-    pub fn is_gang_waiting(&self) -> bool {
-        let waiting = |g: &Gang| g.state == GangState::Waiting;
-        !self.end_write_in_flight
-            && self.done_count < self.spec.task_count
-            && self.gang.as_ref().is_some_and(waiting)
-    }
-
-    /// How long a waiting gang has waited.
-    fn gang_waited_ms(&self, context: &LeaderContext) -> Millis {
-        let ended_at = self.gang.as_ref().and_then(|g| g.last_attempt_ended_at);
-        let age = context.now.wall_ms.saturating_sub(self.submitted_at_ms);
-        ended_at.map_or(age, |at| context.now.monotonic_ms.saturating_sub(at))
+        self.cluster.jobs_to_store.insert(job.to_owned());
     }
 }
 
 #[cfg(test)]
-#[path = "../gang_tests.rs"]
+#[path = "gang_lifecycle_tests.rs"]
 mod tests;
--- a/crates/control/src/gang_tests.rs
+++ b/crates/control/src/scheduling/gang_lifecycle_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::cluster::JobState;
 
 fn member(index: u32, attempt: u64, phase: Phase) -> GangMember {
     GangMember {
--- a/crates/control/src/gang/placement.rs
+++ b/crates/control/src/scheduling/gang_placement.rs
@@ -1,14 +1,15 @@
 //! Choosing machines for a gang, and placing it whole.
-use super::GangState;
+use super::state::SchedulingState;
+use crate::api::Now;
+use crate::cluster::ClusterState;
+use crate::cluster::GangState;
 use crate::cluster::{JobState, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use stonegw_constants::{DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS};
 use stonegw_sched::pruner::{OverloadToggle, Pruner};
-use stonegw_wire::msg::Priority;
 
 /// So many tasks of a gang on one machine.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,74 +48,56 @@
 
 /// The design's class of a waiting gang.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum PlacementPolicy {
+pub(super) enum PlacementPolicy {
     /// No deadline, late, dropped, or without a start for long: leftover room will do.
     FirstFit,
     /// Its chance decides, in the mapping.
     DeadlineConstrained { due_s: f64 },
 }
 
-impl JobState {
-    fn gang_placement_policy(&self, context: &LeaderContext) -> PlacementPolicy {
-        let dropped = self.gang.as_ref().is_some_and(|g| g.is_dropped);
-        let waited_long = self.gang_waited_ms(context) >= DEFERRED_PLACEMENT_MS;
-        match self.seconds_to_deadline(context.now.wall_ms) {
-            Some(due_s) if due_s > 0.0 && !dropped && !waited_long => {
-                PlacementPolicy::DeadlineConstrained { due_s }
-            }
-            _ => PlacementPolicy::FirstFit,
+/// Which rule of the design places a waiting gang.
+pub(super) fn placement_policy(job: &JobState, now: Now) -> PlacementPolicy {
+    let is_dropped = job.gang.as_ref().is_some_and(|gang| gang.is_dropped);
+    let waited_long = job.gang_waited_ms(now) >= DEFERRED_PLACEMENT_MS;
+    match job.seconds_to_deadline(now.wall_ms) {
+        Some(due_s) if due_s > 0.0 && !is_dropped && !waited_long => {
+            PlacementPolicy::DeadlineConstrained { due_s }
         }
+        _ => PlacementPolicy::FirstFit,
     }
 }
 
-impl Leader {
-    /// Gangs that wait, those of the highest rank first, then the longest accepted.
-    pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
-        let waits = |w: &JobState| w.is_gang_waiting() && context.now.monotonic_ms >= w.retry_at;
-        let waiting = self.jobs.iter().filter(|(_, w)| waits(w));
-        let mut order: Vec<(Reverse<Priority>, u64, &String)> = waiting
-            .map(|(id, w)| (Reverse(w.spec.priority), w.submitted_at_ms, id))
-            .collect();
-        order.sort();
-        order.into_iter().map(|(_, _, id)| id.clone()).collect()
-    }
+/// Chooses machines for whole gangs and places them.
+pub struct GangPlacer<'a> {
+    cluster: &'a mut ClusterState,
+    scheduling: &'a mut SchedulingState,
+}
 
-    /// Places the gangs that need only leftover room. Urgent ones also push lesser work aside.
-    pub fn place_gangs_first_fit(&mut self, context: &LeaderContext) {
-        let waiting = self.waiting_gangs(context);
-        if waiting.is_empty() {
-            return;
-        }
-        let roomy = self.machines_with_capacity(context);
-        for job in waiting {
-            let Some(work) = self.jobs.get(&job) else {
-                continue;
-            };
-            if work.gang_placement_policy(context) != PlacementPolicy::FirstFit {
-                continue;
-            }
-            let urgent = work.is_urgent();
-            if !self.place_gang(context, &job, &roomy) && urgent {
-                self.preempt_for_gang(context, &job, false);
-            }
+impl<'a> GangPlacer<'a> {
+    pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
+        GangPlacer {
+            cluster,
+            scheduling,
         }
     }
+}
 
+impl GangPlacer<'_> {
     /// Gangs with a deadline ahead, in the mapping: placed whole where their weakest task's chance
     /// reaches the deferring threshold, dropped whole below the drop threshold while the toggle is
     /// on. A gang is never queued on machines, so its place in a queue is the first.
     pub fn place_deadline_gangs(&mut self, context: &LeaderContext) {
-        let waiting = self.waiting_gangs(context);
+        let waiting = self.cluster.waiting_gangs(context);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(context);
+        let roomy = self.cluster.machines_with_capacity(context);
         for job in waiting {
-            let Some(work) = self.jobs.get(&job) else {
+            let Some(work) = self.cluster.jobs.get(&job) else {
                 continue;
             };
             let PlacementPolicy::DeadlineConstrained { due_s } =
-                work.gang_placement_policy(context)
+                placement_policy(work, context.now)
             else {
                 continue;
             };
@@ -122,9 +105,9 @@
                 continue;
             };
             let chance = self.lowest_on_time_probability(&job, &plan, due_s);
-            if chance >= self.scheduler.pruner.deferring_threshold {
+            if chance >= self.scheduling.pruner.deferring_threshold {
                 self.place_planned_gang(context, &job, plan);
-            } else if self.scheduler.pruner.overload_toggle == OverloadToggle::On {
+            } else if self.scheduling.pruner.overload_toggle == OverloadToggle::On {
                 self.drop_gang_below_threshold(&job, &plan, chance);
             }
         }
@@ -133,12 +116,15 @@
     /// The chance of the task that ends last: all run at the pace of the slowest machine, from when
     /// the last has its image.
     fn lowest_on_time_probability(&mut self, job: &str, plan: &GangPlacement, due_s: f64) -> f64 {
-        let Some(spec) = self.jobs.get(job).map(|w| w.spec.clone()) else {
+        let Some(spec) = self.cluster.jobs.get(job).map(|w| w.spec.clone()) else {
             return 0.0;
         };
         let mut weakest = 1.0_f64;
         for machine_type in self.machine_types_of(plan) {
-            let runs = self.scheduler.run_time_histogram(&spec, &machine_type);
+            let runs = self
+                .scheduling
+                .estimates
+                .run_time_histogram(&spec, &machine_type);
             weakest = weakest.min(
                 runs.cumulative()
                     .on_time_probability_after(plan.image_fetch_s as f64, due_s),
@@ -148,7 +134,7 @@
     }
 
     fn drop_gang_below_threshold(&mut self, job: &str, plan: &GangPlacement, chance: f64) {
-        let Some(work) = self.jobs.get_mut(job) else {
+        let Some(work) = self.cluster.jobs.get_mut(job) else {
             return;
         };
         let spec = work.spec.clone();
@@ -156,7 +142,8 @@
             return;
         };
         let skewness = self
-            .scheduler
+            .scheduling
+            .estimates
             .run_time_histogram(&spec, &machine_type)
             .distribution()
             .skewness();
@@ -164,14 +151,14 @@
             return;
         }
         log::info!("gang {job} is dropped: chance {chance:.2}");
-        if let Some(gang) = self.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
+        if let Some(gang) = self.cluster.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
             gang.is_dropped = true;
         }
     }
 
     fn machine_types_of(&self, plan: &GangPlacement) -> Vec<String> {
         let machines = plan.allocations.iter();
-        let machines = machines.filter_map(|s| self.machines.get(&s.machine));
+        let machines = machines.filter_map(|s| self.cluster.machines.get(&s.machine));
         let mut types: Vec<String> = machines.map(|m| m.machine_type.clone()).collect();
         types.sort();
         types.dedup();
@@ -199,13 +186,17 @@
         job: &str,
         roomy: &[String],
     ) -> Option<GangPlacement> {
-        let work = self.jobs.get(job)?;
-        if !self.gang_within_limit(context, work)
-            || !work.is_urgent() && self.is_team_reserved_for_other(&work.spec)
+        let work = self.cluster.jobs.get(job)?;
+        if !self.cluster.gang_within_limit(context, work)
+            || !work.is_urgent()
+                && self
+                    .scheduling
+                    .reservations
+                    .is_team_reserved_for_other(&work.spec)
         {
             return None;
         }
-        let machines = roomy.iter().filter_map(|id| self.machines.get(id));
+        let machines = roomy.iter().filter_map(|id| self.cluster.machines.get(id));
         let mut candidates: Vec<GangCandidate> = machines
             .filter_map(|m| self.gang_candidate(context, m, work))
             .collect();
@@ -249,23 +240,38 @@
         work: &JobState,
     ) -> Option<GangCandidate> {
         let spec = &work.spec;
-        let machine_type = self.machine_type(&m.machine_type)?;
+        let machine_type = self.cluster.machine_type(&m.machine_type)?;
         let slots = self
+            .cluster
             .free_resources(m)?
             .count_fitting(&Resources::of_task(spec));
         let queue_first = !m.queued.is_empty()
             && !work.is_urgent()
-            && work.gang_waited_ms(context) < DEFERRED_PLACEMENT_QUEUED_MS;
-        if slots == 0 || queue_first || !self.is_eligible(context, m, work) {
+            && work.gang_waited_ms(context.now) < DEFERRED_PLACEMENT_QUEUED_MS;
+        if slots == 0 || queue_first || !self.cluster.is_eligible(context, m, work) {
             return None;
         }
         // Urgent gangs take what is kept for lesser work, if need be: the alternative is to stop some.
-        let reserved = self.reserving_gang_priority(&m.id, &spec.id);
+        let reserved = self.scheduling.reservations.reserving_gang_priority(
+            &self.cluster.jobs,
+            &m.id,
+            &spec.id,
+        );
         let kept = match work.is_urgent() {
             true => reserved.is_some_and(|priority| priority >= spec.priority),
-            false => self.is_reserved_for_other(&m.id, &spec.id),
+            false => self.scheduling.reservations.is_reserved_for_other(
+                &self.cluster.jobs,
+                &m.id,
+                &spec.id,
+            ),
         };
-        if kept || self.is_being_cleared_for_other(context.now.monotonic_ms, &m.id, &spec.id) {
+        if kept
+            || self.scheduling.reservations.is_being_cleared_for_other(
+                context.now.monotonic_ms,
+                &m.id,
+                &spec.id,
+            )
+        {
             return None;
         }
         Some(GangCandidate {
@@ -273,25 +279,11 @@
             machine: m.id.clone(),
             zone: m.zone.clone(),
             slots,
-            image_fetch_s: self.image_fetch_s(m, spec).round() as i64,
+            image_fetch_s: self.cluster.image_fetch_s(m, spec).round() as i64,
             price_per_cpu: machine_type.price_per_cpu(m.spot),
         })
     }
 
-    /// Whether the team's limit leaves room for all tasks of the gang.
-    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let others = f64::from(work.spec.task_count.saturating_sub(1));
-        let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_limit(context, &work.spec, extra)
-    }
-
-    /// Whether all tasks of the gang stay within their team's guarantee.
-    pub(super) fn gang_within_quota(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let others = f64::from(work.spec.task_count.saturating_sub(1));
-        let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_quota(context, &work.spec, extra)
-    }
-
     /// Places every task under one new attempt, or none: a record may have no room for it.
     fn place_planned_gang(
         &mut self,
@@ -300,32 +292,39 @@
         plan: GangPlacement,
     ) -> bool {
         // The last guard against running twice, whatever went wrong before.
-        if self.machines.present_tasks(job).next().is_some() {
+        if self.cluster.machines.present_tasks(job).next().is_some() {
             log::error!("a task of gang {job} may still be on a machine; not placed");
             return false;
         }
-        let attempt = self.allocate_attempt();
+        let attempt = self.cluster.allocate_attempt();
         let shares = plan.allocations.iter();
         let machines = shares.flat_map(|s| (0..s.tasks).map(|_| s.machine.clone()));
         let machines: Vec<String> = machines.collect();
         for (index, machine) in machines.iter().enumerate() {
-            if !self.place_attempt(machine, job, index as u32, attempt) {
+            if !self
+                .cluster
+                .place_attempt(machine, job, index as u32, attempt)
+            {
                 self.revert_attempt(&machines, job, attempt);
                 return false;
             }
         }
-        self.scheduler.gang_reservations.remove(job);
-        self.scheduler
+        self.scheduling.reservations.gang_reservations.remove(job);
+        self.scheduling
+            .reservations
             .preemption_plans
             .retain(|made| made.job != job);
-        if let Some(gang) = self.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
+        if let Some(gang) = self.cluster.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
             gang.attempts_begun += 1;
             gang.set_state(job, GangState::Storing { attempt });
         }
         log::info!(
             "gang {job}#{attempt} is placed on {} machines after {} ms",
             plan.allocations.len(),
-            self.jobs.get(job).map_or(0, |w| w.gang_waited_ms(context))
+            self.cluster
+                .jobs
+                .get(job)
+                .map_or(0, |w| w.gang_waited_ms(context.now))
         );
         true
     }
@@ -333,23 +332,13 @@
     /// Takes placements back that were made a moment ago.
     fn revert_attempt(&mut self, machines: &[String], job: &str, attempt: u64) {
         for id in machines {
-            if let Some(mut m) = self.machines.edit(id) {
+            if let Some(mut m) = self.cluster.machines.edit(id) {
                 m.placements
                     .retain(|p| p.job != job || p.attempt != attempt);
             }
-            self.mark_group_stale(id);
+            self.cluster.mark_group_stale(id);
         }
     }
-
-    /// What is free on a machine.
-    pub(crate) fn free_resources(&self, m: &Machine) -> Option<Resources> {
-        let (cpus, gpus, memory_gb) = m.free_resources(self.machine_type(&m.machine_type)?);
-        Some(Resources {
-            cpus,
-            gpus,
-            memory_gb,
-        })
-    }
 }
 
 /// Takes machines in turn until all tasks have one. `None`: there are too few.
--- a/crates/control/src/gang/reservation.rs
+++ b/crates/control/src/scheduling/gang_reservation.rs
@@ -5,27 +5,23 @@
 //! while single tasks keep arriving, so a gang that waits has machines reserved, as many as it
 //! needs. A machine is reserved for one gang only and a gang reserves nothing or enough for all its
 //! tasks, so no two gangs each keep half of what both need.
+use super::gang_placement::{placement_policy, GangPlacer, PlacementPolicy};
+use super::preemption::{
+    preemption_offers, team_cpus_after_stops, Preemption, PreemptionOffer, PreemptionRequest,
+};
+use super::reservations::GangReservation;
+use super::state::SchedulingState;
 use crate::api::Millis;
+use crate::cluster::ClusterState;
 use crate::cluster::{JobState, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
-use crate::preemption::{PreemptionOffer, PreemptionRequest};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_constants::{
     GANG_MIN_REMAINING_MS, GANG_RESERVATION_DELAY_MS, GANG_RESERVATION_MACHINES_DIVISOR,
     GANG_RESERVATION_MAX_MS, GANG_RESERVATION_PAUSE_MS, QUOTA_RECLAIM_WAIT_MS, RESOURCE_EPSILON,
 };
-use stonegw_wire::msg::{JobKind, Priority};
-
-/// What is kept for a gang that waits.
-#[derive(Clone, Debug, PartialEq)]
-pub enum GangReservation {
-    /// Room on these machines.
-    Machines(BTreeSet<String>),
-    /// What its team may still take.
-    TeamLimit(String),
-}
+use stonegw_wire::msg::JobKind;
 
 /// Room for one task that a machine will have.
 struct FutureSlot {
@@ -33,34 +29,73 @@
     machine: String,
 }
 
-impl Leader {
+/// Reserves or clears capacity for whole gangs.
+pub struct GangReserver<'a> {
+    cluster: &'a mut ClusterState,
+    scheduling: &'a mut SchedulingState,
+}
+
+impl<'a> GangReserver<'a> {
+    pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
+        GangReserver {
+            cluster,
+            scheduling,
+        }
+    }
+}
+
+impl GangReserver<'_> {
+    /// Places the gangs that need only leftover room. Urgent ones also push lesser work aside.
+    pub fn place_gangs_first_fit(&mut self, context: &LeaderContext) {
+        let waiting = self.cluster.waiting_gangs(context);
+        if waiting.is_empty() {
+            return;
+        }
+        let roomy = self.cluster.machines_with_capacity(context);
+        for job in waiting {
+            let Some(work) = self.cluster.jobs.get(&job) else {
+                continue;
+            };
+            if placement_policy(work, context.now) != PlacementPolicy::FirstFit {
+                continue;
+            }
+            let urgent = work.is_urgent();
+            if !GangPlacer::new(self.cluster, self.scheduling).place_gang(context, &job, &roomy)
+                && urgent
+            {
+                self.preempt_for_gang(context, &job, false);
+            }
+        }
+    }
+
     /// Each mapping: who waits for long has room reserved, and takes back what other teams borrow
     /// from its team's guarantee.
     pub fn reserve_for_gangs(&mut self, context: &LeaderContext) {
-        let waiting = self.waiting_gangs(context);
+        let waiting = self.cluster.waiting_gangs(context);
         let waits: BTreeSet<&String> = waiting.iter().collect();
-        self.scheduler
+        self.scheduling
+            .reservations
             .gang_reservations
             .retain(|job, _| waits.contains(job));
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.machines_with_capacity(context);
+        let roomy = self.cluster.machines_with_capacity(context);
         for job in &waiting {
-            let Some(work) = self.jobs.get(job) else {
+            let Some(work) = self.cluster.jobs.get(job) else {
                 continue;
             };
-            if work.gang_waited_ms(context) < GANG_RESERVATION_DELAY_MS
-                || self.place_gang(context, job, &roomy)
+            if work.gang_waited_ms(context.now) < GANG_RESERVATION_DELAY_MS
+                || GangPlacer::new(self.cluster, self.scheduling).place_gang(context, job, &roomy)
             {
                 continue;
             }
             self.reserve_for_gang(context, job);
-            let Some(work) = self.jobs.get(job) else {
+            let Some(work) = self.cluster.jobs.get(job) else {
                 continue;
             };
-            let waited = work.gang_waited_ms(context);
-            if waited >= QUOTA_RECLAIM_WAIT_MS && self.gang_within_quota(context, work) {
+            let waited = work.gang_waited_ms(context.now);
+            if waited >= QUOTA_RECLAIM_WAIT_MS && self.cluster.gang_within_quota(context, work) {
                 self.preempt_for_gang(context, job, true);
             }
         }
@@ -68,16 +103,17 @@
 
     fn reserve_for_gang(&mut self, context: &LeaderContext, job: &str) {
         if !self.may_reserve_for_gang(context.now.monotonic_ms, job) {
-            self.scheduler.gang_reservations.remove(job);
+            self.scheduling.reservations.gang_reservations.remove(job);
             return;
         }
-        let Some(work) = self.jobs.get(job) else {
+        let Some(work) = self.cluster.jobs.get(job) else {
             return;
         };
-        if !self.gang_within_limit(context, work) {
+        if !self.cluster.gang_within_limit(context, work) {
             if self.will_limit_fit_gang(context, work) {
                 let reservation = GangReservation::TeamLimit(work.spec.team.clone());
-                self.scheduler
+                self.scheduling
+                    .reservations
                     .gang_reservations
                     .insert(job.to_owned(), reservation);
             }
@@ -86,24 +122,26 @@
         if self.is_reservation_sufficient(context, job) {
             return;
         }
-        self.scheduler.gang_reservations.remove(job);
+        self.scheduling.reservations.gang_reservations.remove(job);
         let Some(machines) = self.machines_to_reserve(context, job) else {
             return;
         };
         // Most of the fleet goes on with single tasks. A gang that needs more than that part has it to
         // itself.
-        let others = self.reserved_machine_count();
+        let others = self.scheduling.reservations.reserved_machine_count();
         if others > 0
-            && others + machines.len() > self.machines.len() / GANG_RESERVATION_MACHINES_DIVISOR
+            && others + machines.len()
+                > self.cluster.machines.len() / GANG_RESERVATION_MACHINES_DIVISOR
         {
             return;
         }
         log::debug!("gang {job} has {} machines reserved", machines.len());
         for id in &machines {
-            self.requeue_machine_queue(id);
+            self.cluster.requeue_machine_queue(id);
         }
         let reservation = GangReservation::Machines(machines);
-        self.scheduler
+        self.scheduling
+            .reservations
             .gang_reservations
             .insert(job.to_owned(), reservation);
     }
@@ -111,8 +149,12 @@
     /// Other work must not wait for long beside reserved room, so a reservation that has not led to a
     /// start in time pauses.
     fn may_reserve_for_gang(&mut self, now: Millis, job: &str) -> bool {
-        let reserved = self.scheduler.gang_reservations.contains_key(job);
-        let gang = self.jobs.get_mut(job).and_then(|w| w.gang.as_mut());
+        let reserved = self
+            .scheduling
+            .reservations
+            .gang_reservations
+            .contains_key(job);
+        let gang = self.cluster.jobs.get_mut(job).and_then(|w| w.gang.as_mut());
         let Some(gang) = gang else {
             return false;
         };
@@ -133,22 +175,23 @@
         };
         let of_team = |w: &&JobState| w.spec.team == team.name && w.spec.kind == JobKind::Service;
         let whole = |w: &JobState| f64::from(w.spec.task_count) * w.spec.cpus;
-        let services: f64 = self.jobs.values().filter(of_team).map(whole).sum();
+        let services: f64 = self.cluster.jobs.values().filter(of_team).map(whole).sum();
         services + whole(work) <= team.limit_cpus + RESOURCE_EPSILON
     }
 
     /// Whether the machines reserved for a gang will have room for all of it. More urgent work may have
     /// taken some of that.
     fn is_reservation_sufficient(&self, context: &LeaderContext, job: &str) -> bool {
-        let Some(GangReservation::Machines(kept)) = self.scheduler.gang_reservations.get(job)
+        let Some(GangReservation::Machines(kept)) =
+            self.scheduling.reservations.gang_reservations.get(job)
         else {
             return false;
         };
-        let Some(work) = self.jobs.get(job) else {
+        let Some(work) = self.cluster.jobs.get(job) else {
             return false;
         };
-        let machines = kept.iter().filter_map(|id| self.machines.get(id));
-        let usable = machines.filter(|m| self.is_eligible(context, m, work));
+        let machines = kept.iter().filter_map(|id| self.cluster.machines.get(id));
+        let usable = machines.filter(|m| self.cluster.is_eligible(context, m, work));
         let no_run_times = HashMap::new();
         let slots: usize = usable
             .map(|m| {
@@ -159,15 +202,6 @@
         slots >= work.spec.task_count as usize
     }
 
-    fn reserved_machine_count(&self) -> usize {
-        let reservations = self.scheduler.gang_reservations.values();
-        let counts = reservations.map(|r| match r {
-            GangReservation::Machines(ids) => ids.len(),
-            GangReservation::TeamLimit(_) => 0,
-        });
-        counts.sum()
-    }
-
     /// The machines on which a gang would have its room soonest.
     fn machines_to_reserve(
         &mut self,
@@ -175,10 +209,15 @@
         job: &str,
     ) -> Option<BTreeSet<String>> {
         let run_ms = self.mean_run_ms_by_job();
-        let work = self.jobs.get(job)?;
+        let work = self.cluster.jobs.get(job)?;
         let mut by_zone: BTreeMap<&str, Vec<FutureSlot>> = BTreeMap::new();
-        for m in self.machines.values() {
-            if self.is_reserved_for_other(&m.id, job) || !self.is_eligible(context, m, work) {
+        for m in self.cluster.machines.values() {
+            if self
+                .scheduling
+                .reservations
+                .is_reserved_for_other(&self.cluster.jobs, &m.id, job)
+                || !self.cluster.is_eligible(context, m, work)
+            {
                 continue;
             }
             let zone = if work.spec.requires_single_zone {
@@ -208,10 +247,10 @@
 
     /// How long a task of each job runs on average, ms.
     fn mean_run_ms_by_job(&mut self) -> HashMap<String, Millis> {
-        let sched = &mut self.scheduler;
-        let works = self.jobs.iter();
+        let estimates = &mut self.scheduling.estimates;
+        let works = self.cluster.jobs.iter();
         works
-            .map(|(id, w)| (id.clone(), (sched.mean_run_s(&w.spec) * 1e3) as Millis))
+            .map(|(id, w)| (id.clone(), (estimates.mean_run_s(&w.spec) * 1e3) as Millis))
             .collect()
     }
 
@@ -224,7 +263,7 @@
         run_ms: &HashMap<String, Millis>,
     ) -> Vec<FutureSlot> {
         let need = Resources::of_task(&work.spec);
-        let Some(mut free) = self.free_resources(m) else {
+        let Some(mut free) = self.cluster.free_resources(m) else {
             return vec![];
         };
         let mut ends: Vec<(Millis, Resources)> = vec![];
@@ -234,8 +273,9 @@
                 gpus: p.gpus,
                 memory_gb: p.memory_gb,
             };
-            let ended = p.stop_grace_s.is_some() || !self.jobs.contains_key(&p.job);
+            let ended = p.stop_grace_s.is_some() || !self.cluster.jobs.contains_key(&p.job);
             let stays = self
+                .cluster
                 .jobs
                 .get(&p.job)
                 .is_some_and(|w| w.spec.estimated_run_time_s <= 0.0);
@@ -268,18 +308,20 @@
     pub(super) fn preempt_for_gang(&mut self, context: &LeaderContext, job: &str, guarantee: bool) {
         let now = context.now.monotonic_ms;
         if self
-            .scheduler
+            .scheduling
+            .reservations
             .preemption_plans
             .iter()
             .any(|made| made.job == job)
         {
             return;
         }
-        let mut claims = self.refresh_preemption_claims(now);
-        let Some(work) = self.jobs.get(job) else {
+        let mut claims =
+            Preemption::new(self.cluster, self.scheduling).refresh_preemption_claims(now);
+        let Some(work) = self.cluster.jobs.get(job) else {
             return;
         };
-        if !self.gang_within_limit(context, work) {
+        if !self.cluster.gang_within_limit(context, work) {
             return;
         }
         let wanted = PreemptionRequest {
@@ -287,10 +329,16 @@
             tasks: work.spec.task_count,
             reclaims_quota: guarantee,
         };
-        let used = self.team_cpus_after_stops(context, guarantee);
+        let used = team_cpus_after_stops(self.cluster, context, guarantee);
         let mut by_zone: BTreeMap<&str, Vec<PreemptionOffer>> = BTreeMap::new();
-        for m in self.machines.values() {
-            if !self.is_eligible(context, m, work) || self.is_reserved_for_other(&m.id, job) {
+        for m in self.cluster.machines.values() {
+            if !self.cluster.is_eligible(context, m, work)
+                || self.scheduling.reservations.is_reserved_for_other(
+                    &self.cluster.jobs,
+                    &m.id,
+                    job,
+                )
+            {
                 continue;
             }
             let zone = if work.spec.requires_single_zone {
@@ -298,7 +346,7 @@
             } else {
                 ""
             };
-            let offers = self.preemption_offers(context, m, &wanted, &claims, &used);
+            let offers = preemption_offers(self.cluster, context, m, &wanted, &claims, &used);
             by_zone.entry(zone).or_default().extend(offers);
         }
         let tasks = work.spec.task_count as usize;
@@ -309,46 +357,15 @@
         if let Some((cost, offers)) = choice {
             let stops: usize = offers.iter().map(|o| o.victims.len()).sum();
             log::info!("gang {job} pushes {stops} tasks aside, cost {cost} ms");
-            self.carry_out_preemption(context, job, offers, &mut claims, true);
-        }
-    }
-
-    /// Queued tasks must not take room that is kept or being made.
-    pub fn requeue_machine_queue(&mut self, machine: &str) {
-        let Some(mut m) = self.machines.edit(machine) else {
-            return;
-        };
-        for (job, index) in std::mem::take(&mut m.queued) {
-            if let Some(w) = self.jobs.get_mut(&job) {
-                w.requeue(index);
-            }
+            Preemption::new(self.cluster, self.scheduling).carry_out_preemption(
+                context,
+                job,
+                offers,
+                &mut claims,
+                true,
+            );
         }
     }
-
-    /// Whether a machine is reserved for another gang.
-    pub fn is_gang_reserved_for_other(&self, machine: &str, job: &str) -> bool {
-        self.reserving_gang_priority(machine, job).is_some()
-    }
-
-    /// The priority of the other gang that a machine is reserved for, of the highest if for several.
-    pub(super) fn reserving_gang_priority(&self, machine: &str, job: &str) -> Option<Priority> {
-        let reservations = self.scheduler.gang_reservations.iter();
-        let others = reservations.filter(|(other, _)| *other != job);
-        let here = others
-            .filter(|(_, r)| matches!(r, GangReservation::Machines(ids) if ids.contains(machine)));
-        here.filter_map(|(other, _)| Some(self.jobs.get(other)?.spec.priority))
-            .max()
-    }
-
-    /// Whether what a team may still take is reserved for a gang other than `job`.
-    pub fn is_team_gang_reserved_for_other(&self, team: &str, job: &str) -> bool {
-        let mut others = self
-            .scheduler
-            .gang_reservations
-            .iter()
-            .filter(|(j, _)| *j != job);
-        others.any(|(_, r)| matches!(r, GangReservation::TeamLimit(t) if t == team))
-    }
 }
 
 /// The cheapest so many offers and their cost together. A machine's offers build on each other, and
--- a/crates/control/src/scheduler/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -1,9 +1,9 @@
 //! The machines' queues as one mapping sees them, with the curves of when their tasks end.
-use super::Scheduler;
+use super::state::SchedulingState;
 use crate::api::Now;
+use crate::cluster::ClusterState;
 use crate::cluster::{JobState, Lifecycle, Machine};
 use crate::context::LeaderContext;
-use crate::leader::Leader;
 use std::collections::BTreeMap;
 use stonegw_constants::MAX_QUEUED_TASKS_PER_MACHINE;
 use stonegw_sched::placement_estimate::{EstimatedStart, ExpectedRelease, QueueForecast};
@@ -57,7 +57,7 @@
     machine: &'a Machine,
     machine_type: &'a MachineType,
     jobs: &'a mut BTreeMap<String, JobState>,
-    scheduler: &'a mut Scheduler,
+    scheduling: &'a mut SchedulingState,
     on_time_average: &'a mut OnTimeAverage,
     forecast: QueueForecast,
 }
@@ -111,7 +111,8 @@
                 continue;
             }
             let runs = self
-                .scheduler
+                .scheduling
+                .estimates
                 .run_time_histogram(&w.spec, &self.machine_type.name);
             let end = match p.running_at {
                 Some(t) => {
@@ -155,9 +156,10 @@
             self.jobs.get_mut(job).expect("seen").requeue(index);
             return false;
         };
-        let on = self.scheduler.pruner.overload_toggle == OverloadToggle::On;
+        let on = self.scheduling.pruner.overload_toggle == OverloadToggle::On;
         let runs = self
-            .scheduler
+            .scheduling
+            .estimates
             .run_time_histogram(spec, &self.machine_type.name);
         // The whole curve only where something follows from it: a task behind this one,
         // or the drop threshold.
@@ -184,72 +186,74 @@
     }
 }
 
-impl Leader {
-    /// Every open machine's queue with its tail curves. Held tasks below the drop threshold
-    /// leave while the toggle is on. Counts into the instantaneous robustness.
-    pub(super) fn machine_queues(
-        &mut self,
-        context: &LeaderContext,
-        robustness: &mut OnTimeAverage,
-    ) -> Vec<MachineQueue> {
-        let now = context.now.monotonic_ms;
-        let ids: Vec<String> = self
-            .machines
-            .values()
-            .filter(|m| {
-                m.lifecycle == Lifecycle::Ready
-                    && !m.is_silent(now, context.settings.heartbeat_interval_s)
-            })
-            .map(|m| m.id.clone())
-            .collect();
-        let mut seats = vec![];
-        for id in ids {
-            seats.extend(self.machine_queue(context, id, robustness));
-        }
-        seats
+/// Every open machine's queue with its tail curves. Held tasks below the drop threshold
+/// leave while the toggle is on. Counts into the instantaneous robustness.
+pub(super) fn machine_queues(
+    cluster: &mut ClusterState,
+    scheduling: &mut SchedulingState,
+    context: &LeaderContext,
+    robustness: &mut OnTimeAverage,
+) -> Vec<MachineQueue> {
+    let now = context.now.monotonic_ms;
+    let ids: Vec<String> = cluster
+        .machines
+        .values()
+        .filter(|m| {
+            m.lifecycle == Lifecycle::Ready
+                && !m.is_silent(now, context.settings.heartbeat_interval_s)
+        })
+        .map(|m| m.id.clone())
+        .collect();
+    let mut seats = vec![];
+    for id in ids {
+        seats.extend(machine_queue(cluster, scheduling, context, id, robustness));
     }
+    seats
+}
 
-    /// One machine's queue. `None`: the machine takes no new tasks.
-    fn machine_queue(
-        &mut self,
-        context: &LeaderContext,
-        id: String,
-        robustness: &mut OnTimeAverage,
-    ) -> Option<MachineQueue> {
-        let machine = self.machines.get(&id)?;
-        let types = &self.catalog.machine_types;
-        let kind = types.iter().position(|t| t.name == machine.machine_type)?;
-        let machine_type = &types[kind];
-        let (cpus, gpus, memory) = machine.free_resources(machine_type);
-        let (price, spot) = (machine_type.price_per_cpu(machine.spot), machine.spot);
-        let mut builder = QueueForecastBuilder {
-            now: context.now,
-            machine,
-            machine_type,
-            jobs: &mut self.jobs,
-            scheduler: &mut self.scheduler,
-            on_time_average: robustness,
-            forecast: QueueForecast::with_free(cpus, gpus, memory),
-        };
-        builder.add_placements();
-        let kept = builder.add_queued();
-        let queue = builder.forecast;
-        let open = self.accepts_tasks(context, machine)
-            && !self.is_being_cleared(context.now.monotonic_ms, &id);
-        if kept != machine.queued {
-            if let Some(mut m) = self.machines.edit(&id) {
-                m.queued = kept;
-            }
+/// One machine's queue. `None`: the machine takes no new tasks.
+fn machine_queue(
+    cluster: &mut ClusterState,
+    scheduling: &mut SchedulingState,
+    context: &LeaderContext,
+    id: String,
+    robustness: &mut OnTimeAverage,
+) -> Option<MachineQueue> {
+    let machine = cluster.machines.get(&id)?;
+    let types = &cluster.catalog.machine_types;
+    let kind = types.iter().position(|t| t.name == machine.machine_type)?;
+    let machine_type = &types[kind];
+    let (cpus, gpus, memory) = machine.free_resources(machine_type);
+    let (price, spot) = (machine_type.price_per_cpu(machine.spot), machine.spot);
+    let mut builder = QueueForecastBuilder {
+        now: context.now,
+        machine,
+        machine_type,
+        jobs: &mut cluster.jobs,
+        scheduling,
+        on_time_average: robustness,
+        forecast: QueueForecast::with_free(cpus, gpus, memory),
+    };
+    builder.add_placements();
+    let kept = builder.add_queued();
+    let queue = builder.forecast;
+    let open = cluster.accepts_tasks(context, machine)
+        && !scheduling
+            .reservations
+            .is_being_cleared(context.now.monotonic_ms, &id);
+    if kept != machine.queued {
+        if let Some(mut m) = cluster.machines.edit(&id) {
+            m.queued = kept;
         }
-        open.then_some(MachineQueue {
-            id,
-            machine_type_index: kind,
-            price_per_cpu: price,
-            spot,
-            image_ids: vec![],
-            image_fetch_s_per_gb: 0.0,
-            forecast: queue,
-            change_count: 0,
-        })
     }
+    open.then_some(MachineQueue {
+        id,
+        machine_type_index: kind,
+        price_per_cpu: price,
+        spot,
+        image_ids: vec![],
+        image_fetch_s_per_gb: 0.0,
+        forecast: queue,
+        change_count: 0,
+    })
 }
--- a/crates/testkit/tests/leader_scaling.rs
+++ b/crates/testkit/tests/leader_scaling.rs
@@ -24,7 +24,7 @@
     assert!(sim.jobs.values().filter(|j| j.started_at.is_some()).count() > machines as usize / 4);
     let node = sim.nodes[sim.leader().expect("a leader")].as_ref();
     let leader = node.and_then(|n| n.leader.as_ref()).expect("a leader");
-    leader.machines.lookups()
+    leader.cluster.machines.lookups()
 }
 
 #[test]
