--- a/crates/control/src/autoscaler/sizing.rs
+++ b/crates/control/src/autoscaler/sizing.rs
@@ -85,12 +85,7 @@
                 free,
             };
             rooms.extend(self.cluster.free_resources(m).map(room));
-            let (cpus, gpus, memory_gb) = self.cluster.urgent_usage(m);
-            let staying = Resources {
-                cpus,
-                gpus,
-                memory_gb,
-            };
+            let staying = self.cluster.urgent_usage(m);
             lasting.push(room(Resources::of_type(machine_type) - staying));
         }
         for renting in &self.autoscaler.pending_provisions {
--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -1,158 +1,209 @@
-//! Whether and how well a machine can run a task: state, constraints, capacity and team limits.
+//! Whether and how well a machine can run a task: its state, the job's constraints, free capacity and
+//! the team's quota and limit.
 use super::{zone_allows, ClusterState, JobState, Lifecycle, Machine, Phase};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use stonegw_constants::RESOURCE_EPSILON;
-use stonegw_wire::msg::{JobSpec, Priority};
-
-/// Fetches at the same time share the rate.
-pub(crate) fn image_fetch_s_per_gb(m: &Machine, rate: f64) -> f64 {
-    let fetching = m.placements.iter().any(|p| p.phase == Phase::Fetching);
-    let share = if fetching { 2.0 } else { 1.0 };
+use stonegw_wire::msg::JobSpec;
+
+/// Seconds that a machine takes to fetch one GB of an image, at a rate in GB/s. Concurrent fetches share
+/// the rate.
+pub(crate) fn image_fetch_s_per_gb(machine: &Machine, rate: f64) -> f64 {
+    let mut placements = machine.placements.iter();
+    let is_fetching = placements.any(|placement| placement.phase == Phase::Fetching);
+    let share = if is_fetching { 2.0 } else { 1.0 };
     share / rate.max(0.01)
 }
 
+/// The order of machines in first fit; the least is used first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct FirstFitKey {
+    /// Seconds until the image is there.
+    image_fetch_s: i64,
+    /// Price of a CPU, scaled to a whole number.
+    price_per_cpu: i64,
+    /// Free CPUs, in hundredths: the tighter fit goes first.
+    free_cpus: i64,
+}
+
+impl JobState {
+    /// Whether the job's tasks may run on machines of this type.
+    pub(crate) fn allows_machine_type(&self, machine_type: &str) -> bool {
+        let allowed = self.spec.machine_types.as_ref();
+        allowed.is_none_or(|names| names.iter().any(|name| name == machine_type))
+    }
+}
+
 impl ClusterState {
     /// Whether a machine takes new tasks at all.
-    pub(crate) fn accepts_tasks(&self, context: &LeaderContext, m: &Machine) -> bool {
-        m.lifecycle == Lifecycle::Ready
-            && !m.is_silent(
-                context.now.monotonic_ms,
-                context.settings.heartbeat_interval_s,
-            )
-            && m.under_current_term
-            && !m.via_store
-            && m.is_trusted()
-            && context.now.monotonic_ms >= m.full_until
-    }
-
-    /// Whether a task of this job may go to that machine, which is open, room aside.
-    pub(crate) fn meets_constraints(&self, m: &Machine, w: &JobState) -> bool {
-        let spec = &w.spec;
-        (!m.spot || spec.allows_spot)
-            && spec
-                .machine_types
-                .as_ref()
-                .is_none_or(|t| t.contains(&m.machine_type))
-            && !w.failures.avoids(&m.id)
-            && zone_allows(&self.machines, w, &m.zone)
-            && self.group_record_has_capacity(m, &spec.id)
-    }
-
-    /// Whether a task of this job may go to that machine now, room aside.
-    pub fn is_eligible(&self, context: &LeaderContext, m: &Machine, w: &JobState) -> bool {
-        self.accepts_tasks(context, m) && self.meets_constraints(m, w)
-    }
-
-    /// Whether the machine has room for one more task.
-    pub fn has_capacity(&self, m: &Machine, spec: &JobSpec) -> bool {
-        let free = self.free_resources(m);
+    pub(crate) fn accepts_tasks(&self, context: &LeaderContext, machine: &Machine) -> bool {
+        let now = context.now.monotonic_ms;
+        machine.lifecycle == Lifecycle::Ready
+            && !machine.is_silent(now, context.settings.heartbeat_interval_s)
+            && machine.under_current_term
+            && !machine.via_store
+            && machine.is_trusted()
+            && now >= machine.full_until
+    }
+
+    /// Whether the job's constraints allow a task of it on the machine, capacity aside.
+    pub(crate) fn meets_constraints(&self, machine: &Machine, job: &JobState) -> bool {
+        (!machine.spot || job.spec.allows_spot)
+            && job.allows_machine_type(&machine.machine_type)
+            && !job.failures.avoids(&machine.id)
+            && zone_allows(&self.machines, job, &machine.zone)
+            && self.group_record_has_capacity(machine, &job.spec.id)
+    }
+
+    /// Whether a task of the job may be placed on the machine now, capacity aside.
+    pub fn is_eligible(&self, context: &LeaderContext, machine: &Machine, job: &JobState) -> bool {
+        self.accepts_tasks(context, machine) && self.meets_constraints(machine, job)
+    }
+
+    /// Whether the machine has free capacity for one more task.
+    pub fn has_capacity(&self, machine: &Machine, spec: &JobSpec) -> bool {
+        let free = self.free_resources(machine);
         free.is_some_and(|free| free.has_capacity_for(&Resources::of_task(spec)))
     }
 
-    /// Whether one more task keeps its team within so many CPUs and cards, besides `extra`.
-    pub(crate) fn team_usage_within(
+    /// What is free on a machine. `None`: the catalogue does not have its type.
+    pub(crate) fn free_resources(&self, machine: &Machine) -> Option<Resources> {
+        let machine_type = self.machine_type(&machine.machine_type)?;
+        let (cpus, gpus, memory_gb) = machine.free_resources(machine_type);
+        Some(Resources {
+            cpus,
+            gpus,
+            memory_gb,
+        })
+    }
+
+    /// Whether one more task keeps its team's CPUs and GPUs within `bound`, with `extra` on top of what is
+    /// placed. Memory is not counted against teams.
+    fn is_team_usage_within(&self, spec: &JobSpec, bound: Resources, extra: Resources) -> bool {
+        let (cpus, gpus) = self.machines.team_usage(&spec.team);
+        cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
+            && gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
+    }
+
+    /// Whether one more task stays within the team's limit.
+    pub fn within_limit(&self, context: &LeaderContext, spec: &JobSpec) -> bool {
+        self.within_limit_with(context, spec, Resources::default())
+    }
+
+    /// Whether one more task stays within the team's limit, with `extra` on top of what is placed.
+    pub fn within_limit_with(
         &self,
+        context: &LeaderContext,
         spec: &JobSpec,
-        most: Option<(f64, f64)>,
-        extra: (f64, f64),
+        extra: Resources,
     ) -> bool {
-        let (c, g) = self.machines.team_usage(&spec.team);
-        most.is_some_and(|most| {
-            c + extra.0 + spec.cpus <= most.0 + RESOURCE_EPSILON
-                && g + extra.1 + spec.gpus <= most.1 + RESOURCE_EPSILON
+        context.settings.team(&spec.team).is_some_and(|team| {
+            let limit = Resources {
+                cpus: team.limit_cpus,
+                gpus: team.limit_gpus,
+                memory_gb: f64::MAX,
+            };
+            self.is_team_usage_within(spec, limit, extra)
         })
     }
 
-    /// Whether the team's limit leaves room for one more task, besides `extra` CPUs and cards.
-    pub fn within_limit(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
-        let team = context.settings.team(&spec.team);
-        self.team_usage_within(spec, team.map(|t| (t.limit_cpus, t.limit_gpus)), extra)
+    /// Whether one more task stays within the team's quota.
+    pub fn within_quota(&self, context: &LeaderContext, spec: &JobSpec) -> bool {
+        self.within_quota_with(context, spec, Resources::default())
     }
 
-    /// Whether one more task stays within the team's guarantee.
-    pub fn within_quota(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
-        let team = context.settings.team(&spec.team);
-        self.team_usage_within(spec, team.map(|t| (t.quota_cpus, t.quota_gpus)), extra)
+    /// Whether one more task stays within the team's quota, with `extra` on top of what is placed.
+    pub fn within_quota_with(
+        &self,
+        context: &LeaderContext,
+        spec: &JobSpec,
+        extra: Resources,
+    ) -> bool {
+        context.settings.team(&spec.team).is_some_and(|team| {
+            let quota = Resources {
+                cpus: team.quota_cpus,
+                gpus: team.quota_gpus,
+                memory_gb: f64::MAX,
+            };
+            self.is_team_usage_within(spec, quota, extra)
+        })
+    }
+
+    /// Whether all tasks of the gang stay within their team's limit.
+    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, gang: &JobState) -> bool {
+        self.within_limit_with(context, &gang.spec, all_but_one_task(&gang.spec))
     }
 
-    /// Machines with any room: looked for once, not for each task.
+    /// Whether all tasks of the gang stay within their team's quota.
+    pub(crate) fn gang_within_quota(&self, context: &LeaderContext, gang: &JobState) -> bool {
+        self.within_quota_with(context, &gang.spec, all_but_one_task(&gang.spec))
+    }
+
+    /// The machines with any free capacity. A pass collects them once, not for each task.
     pub fn machines_with_capacity(&self, context: &LeaderContext) -> Vec<String> {
-        let open = self
-            .machines
+        let has_free_cpus = |machine: &Machine| {
+            let free = self.free_resources(machine);
+            free.is_some_and(|free| free.cpus > RESOURCE_EPSILON)
+        };
+        self.machines
             .values()
-            .filter(|m| self.accepts_tasks(context, m));
-        open.filter(|m| {
-            self.machine_type(&m.machine_type)
-                .is_some_and(|t| m.free_resources(t).0 > RESOURCE_EPSILON)
-        })
-        .map(|m| m.id.clone())
-        .collect()
+            .filter(|machine| self.accepts_tasks(context, machine) && has_free_cpus(machine))
+            .map(|machine| machine.id.clone())
+            .collect()
     }
 
-    /// Seconds that fetching the job's image takes there.
-    pub fn image_fetch_s(&self, m: &Machine, spec: &JobSpec) -> f64 {
-        if m.has_image(&spec.image) {
+    /// Seconds that fetching the job's image takes on the machine.
+    pub fn image_fetch_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
+        if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let rate = self
-            .machine_type(&m.machine_type)
-            .map_or(1.0, |t| t.fetch_gb_per_s);
-        image_fetch_s_per_gb(m, rate) * spec.image_size_gb
+        let machine_type = self.machine_type(&machine.machine_type);
+        let rate = machine_type.map_or(1.0, |machine_type| machine_type.fetch_gb_per_s);
+        image_fetch_s_per_gb(machine, rate) * spec.image_size_gb
     }
 
     /// First fit: the soonest start, then the cheaper machine, then the tighter fit.
-    pub fn first_fit_key(&self, m: &Machine, spec: &JobSpec) -> (i64, i64, i64) {
-        let kind = self.machine_type(&m.machine_type);
-        let free = kind.map_or(0.0, |t| m.free_resources(t).0);
-        let price = kind.map_or(0.0, |t| t.price_per_cpu(m.spot));
-        let fetch = self.image_fetch_s(m, spec).round() as i64;
-        (fetch, (price * 1e4) as i64, (free * 100.0) as i64)
-    }
-
-    /// What is free on a machine.
-    pub(crate) fn free_resources(&self, m: &Machine) -> Option<Resources> {
-        let (cpus, gpus, memory_gb) = m.free_resources(self.machine_type(&m.machine_type)?);
-        Some(Resources {
-            cpus,
-            gpus,
-            memory_gb,
-        })
+    pub fn first_fit_key(&self, machine: &Machine, spec: &JobSpec) -> FirstFitKey {
+        let machine_type = self.machine_type(&machine.machine_type);
+        let price = machine_type.map_or(0.0, |found| found.price_per_cpu(machine.spot));
+        let free_cpus = self.free_resources(machine).map_or(0.0, |free| free.cpus);
+        FirstFitKey {
+            image_fetch_s: self.image_fetch_s(machine, spec).round() as i64,
+            price_per_cpu: (price * 1e4) as i64,
+            free_cpus: (free_cpus * 100.0) as i64,
+        }
     }
 
-    /// Whether the team's limit leaves room for all tasks of the gang.
-    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let others = f64::from(work.spec.task_count.saturating_sub(1));
-        let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_limit(context, &work.spec, extra)
+    /// The gangs that wait for placement: by descending priority, then the longest accepted first.
+    pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
+        let now = context.now.monotonic_ms;
+        let waits = |job: &JobState| job.is_gang_waiting() && now >= job.retry_at;
+        let mut waiting: Vec<(&String, &JobState)> =
+            self.jobs.iter().filter(|(_, job)| waits(job)).collect();
+        waiting.sort_by_key(|(id, job)| (Reverse(job.spec.priority), job.submitted_at_ms, *id));
+        waiting.into_iter().map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether all tasks of the gang stay within their team's guarantee.
-    pub(crate) fn gang_within_quota(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let others = f64::from(work.spec.task_count.saturating_sub(1));
-        let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_quota(context, &work.spec, extra)
+    /// What urgent tasks take of a machine. They are not preempted, and services do not end by themselves.
+    pub fn urgent_usage(&self, machine: &Machine) -> Resources {
+        let is_urgent = |job: &str| self.jobs.get(job).is_some_and(JobState::is_urgent);
+        let mut usage = Resources::default();
+        for placement in &machine.placements {
+            if placement.is_present() && is_urgent(&placement.job) {
+                usage += placement.resources();
+            }
+        }
+        usage
     }
+}
 
-    /// Gangs that wait, those of the highest rank first, then the longest accepted.
-    pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
-        let waits = |w: &JobState| w.is_gang_waiting() && context.now.monotonic_ms >= w.retry_at;
-        let waiting = self.jobs.iter().filter(|(_, w)| waits(w));
-        let mut order: Vec<(Reverse<Priority>, u64, &String)> = waiting
-            .map(|(id, w)| (Reverse(w.spec.priority), w.submitted_at_ms, id))
-            .collect();
-        order.sort();
-        order.into_iter().map(|(_, _, id)| id.clone()).collect()
-    }
-
-    /// What urgent work takes of a machine, which does not end by itself.
-    pub fn urgent_usage(&self, m: &Machine) -> (f64, f64, f64) {
-        let urgent = |job: &str| self.jobs.get(job).is_some_and(JobState::is_urgent);
-        let stay = m.placements.iter();
-        let stay = stay.filter(|p| p.is_present() && urgent(&p.job));
-        stay.fold((0.0, 0.0, 0.0), |(c, g, mem), p| {
-            (c + p.cpus, g + p.gpus, mem + p.memory_gb)
-        })
+/// What all tasks of a gang but one take together: CPUs and GPUs, as teams are charged for them.
+fn all_but_one_task(spec: &JobSpec) -> Resources {
+    let others = f64::from(spec.task_count.saturating_sub(1));
+    Resources {
+        cpus: others * spec.cpus,
+        gpus: others * spec.gpus,
+        memory_gb: 0.0,
     }
 }
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -111,7 +111,8 @@
                     chunk: *n,
                     exited_placements: done_placements(&self.cluster.machines, id, Some(*n)),
                 };
-                let (runs, run_s) = self.scheduler.state.estimates.observed_runs(id);
+                let observed = self.scheduler.state.estimates.observed_runs(id);
+                let (runs, run_s) = (observed.count, observed.mean_s());
                 let value = StoredRecord::ResultChunk(ResultChunkRecord {
                     done_bitmap: bits,
                     observed_runs: runs,
--- a/crates/control/src/leader/resume_tests.rs
+++ b/crates/control/src/leader/resume_tests.rs
@@ -81,7 +81,12 @@
         let done = heartbeat(2, TaskState::Exited, Some(ExitCause::Done));
         world.deliver_heartbeat(&mut leader, done);
         assert_eq!(
-            leader.scheduler.state.estimates.observed_runs("run-1").0,
+            leader
+                .scheduler
+                .state
+                .estimates
+                .observed_runs("run-1")
+                .count,
             runs,
             "paused: {paused}"
         );
--- a/crates/control/src/scheduling/aging.rs
+++ b/crates/control/src/scheduling/aging.rs
@@ -1,18 +1,18 @@
-//! The one exception to the order of the design: work that has waited for long. By its rules a
-//! job whose tasks are large, late or dropped has only leftover room, and none is left over
-//! while small work keeps arriving. So from time to time a part of its tasks goes before all
-//! but urgent work: it takes the room there is, and where none fits, one machine's room, or the
-//! team's, is kept for it until it does.
+//! The one exception to the order of the design: jobs that have waited for long. By its rules a job whose
+//! tasks are large, late or dropped gets only leftover capacity, and nothing is left over while small tasks
+//! keep arriving. So from time to time a part of its tasks goes before all but urgent work: it takes
+//! what capacity there is, and where none fits, one machine, or what remains of the team's limit, is reserved
+//! for it until it does.
 use super::reservations::AgingReservation;
 use super::state::SchedulingState;
 use crate::api::Millis;
-use crate::cluster::ClusterState;
-use crate::cluster::{JobState, Machine};
+use crate::cluster::{ClusterState, JobState, Machine, Placement};
 use crate::context::LeaderContext;
-use std::collections::HashMap;
+use crate::resources::Resources;
+use std::collections::{BTreeMap, HashMap};
 use stonegw_constants::{
-    DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS, RESOURCE_EPSILON, STARVATION_MS,
-    STARVATION_REPEAT_MS, STARVED_TASKS_DIVISOR,
+    DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS, STARVATION_MS, STARVATION_REPEAT_MS,
+    STARVED_TASKS_DIVISOR,
 };
 use stonegw_wire::msg::JobSpec;
 
@@ -22,7 +22,65 @@
     scheduling: &'a mut SchedulingState,
 }
 
+/// Which machines a deferred task may take, by how long its job has waited.
+enum DeferredScope {
+    /// Those without queued tasks.
+    UnqueuedMachines,
+    /// All, and of the reserved ones those that their owner can't use yet.
+    AllMachines { backfill_machines: Vec<String> },
+}
+
+impl DeferredScope {
+    fn allows_queue(&self) -> bool {
+        matches!(self, DeferredScope::AllMachines { .. })
+    }
+
+    fn may_backfill(&self, machine: &str) -> bool {
+        match self {
+            DeferredScope::UnqueuedMachines => false,
+            DeferredScope::AllMachines { backfill_machines } => {
+                backfill_machines.iter().any(|id| id == machine)
+            }
+        }
+    }
+}
+
+/// How much has to end on a machine before it can be used; in thousandths of a CPU.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ClearingCost {
+    /// Of urgent tasks, which can't be preempted.
+    urgent_cpus: i64,
+    /// Of all tasks.
+    used_cpus: u64,
+}
+
+/// What a running task is expected to free, and when.
+struct ExpectedEnd {
+    in_s: f64,
+    resources: Resources,
+}
+
+/// The jobs that are selected, the longest accepted first.
+fn oldest_first(
+    jobs: &BTreeMap<String, JobState>,
+    is_selected: impl Fn(&str, &JobState) -> bool,
+) -> Vec<String> {
+    let selected = jobs.iter().filter(|(id, job)| is_selected(id, job));
+    let mut selected: Vec<(&String, &JobState)> = selected.collect();
+    selected.sort_by_key(|(id, job)| (job.submitted_at_ms, *id));
+    selected.into_iter().map(|(id, _)| id.clone()).collect()
+}
+
+/// Time since a task of the job was last placed, or since its submission.
+fn ms_without_start(context: &LeaderContext, job: &JobState) -> Millis {
+    match job.last_placed_at {
+        Some(at) => context.now.monotonic_ms.saturating_sub(at),
+        None => context.now.wall_ms.saturating_sub(job.submitted_at_ms),
+    }
+}
+
 impl<'a> Aging<'a> {
+    /// Works on this cluster, with what the scheduler's parts share.
     pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
         Aging {
             cluster,
@@ -32,121 +90,227 @@
 }
 
 impl Aging<'_> {
-    /// Sets down who is owed a start.
+    /// Starts tasks of starved jobs, the longest accepted first.
+    pub fn place_starved(&mut self, context: &LeaderContext) {
+        self.update_starved_tasks(context);
+        let now = context.now.monotonic_ms;
+        let starved = oldest_first(&self.cluster.jobs, |_, job| {
+            job.starved_tasks > 0 && now >= job.retry_at
+        });
+        self.drop_outdated_reservations();
+        for job in starved {
+            while self.place_starved_task(context, &job) {}
+            if !self.is_starved(&job) {
+                self.scheduling.reservations.aging_reservations.remove(&job);
+            }
+        }
+    }
+
+    /// Finds out which jobs are starved, and how many of their tasks go first.
     fn update_starved_tasks(&mut self, context: &LeaderContext) {
         let now = context.now.monotonic_ms;
-        for (id, w) in &mut self.cluster.jobs {
-            // No room is kept for a job that fails everywhere.
-            let broken = w.failures.job_is_broken();
-            if w.pending_tasks.is_empty() || w.end_write_in_flight || w.is_urgent() || broken {
-                w.starved_tasks = 0;
+        for (id, job) in &mut self.cluster.jobs {
+            // Nothing is reserved for a job that fails everywhere.
+            let is_broken = job.failures.job_is_broken();
+            if job.pending_tasks.is_empty()
+                || job.end_write_in_flight
+                || job.is_urgent()
+                || is_broken
+            {
+                job.starved_tasks = 0;
                 continue;
             }
-            let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
-            let waited = match w.last_placed_at {
+            let age = context.now.wall_ms.saturating_sub(job.submitted_at_ms);
+            let is_starved = match job.last_placed_at {
                 Some(at) => now >= at + STARVATION_REPEAT_MS,
-                None if w.done_count > 0
+                None if job.done_count > 0
                     || self.cluster.machines.present_tasks(id).next().is_some() =>
                 {
                     // Begun under an earlier leader.
-                    w.last_placed_at = Some(now);
+                    job.last_placed_at = Some(now);
                     false
                 }
                 None => age >= STARVATION_MS,
             };
-            if waited && w.starved_tasks == 0 {
-                w.starved_tasks = (w.spec.task_count as usize).div_ceil(STARVED_TASKS_DIVISOR);
+            if is_starved && job.starved_tasks == 0 {
+                let task_count = job.spec.task_count as usize;
+                job.starved_tasks = task_count.div_ceil(STARVED_TASKS_DIVISOR);
             }
         }
     }
 
-    /// Starts what is owed, the longest accepted first.
-    pub fn place_starved(&mut self, context: &LeaderContext) {
-        self.update_starved_tasks(context);
-        let mut waiting: Vec<(u64, String)> = self
-            .cluster
-            .jobs
-            .iter()
-            .filter(|(_, w)| w.starved_tasks > 0 && context.now.monotonic_ms >= w.retry_at)
-            .map(|(id, w)| (w.submitted_at_ms, id.clone()))
-            .collect();
-        waiting.sort();
-        let works = &self.cluster.jobs;
-        let owed = |job: &String| works.get(job).is_some_and(|w| w.starved_tasks > 0);
-        self.scheduling
-            .reservations
-            .aging_reservations
-            .retain(|job, _| owed(job));
-        for (_, job) in waiting {
-            while self.place_starved_task(context, &job) {}
-            if self
-                .cluster
-                .jobs
-                .get(&job)
-                .is_none_or(|w| w.starved_tasks == 0)
-            {
-                self.scheduling.reservations.aging_reservations.remove(&job);
+    fn is_starved(&self, job: &str) -> bool {
+        let job = self.cluster.jobs.get(job);
+        job.is_some_and(|job| job.starved_tasks > 0)
+    }
+
+    fn drop_outdated_reservations(&mut self) {
+        let jobs = &self.cluster.jobs;
+        let is_starved = |job: &String| jobs.get(job).is_some_and(|job| job.starved_tasks > 0);
+        let reservations = &mut self.scheduling.reservations.aging_reservations;
+        reservations.retain(|job, _| is_starved(job));
+    }
+
+    /// Places one task of a starved job. False: none is left, or there is no capacity for it yet.
+    fn place_starved_task(&mut self, context: &LeaderContext, job_id: &str) -> bool {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
+            return false;
+        };
+        let index = job
+            .next_unpruned()
+            .or_else(|| job.pending_tasks.first().copied());
+        let Some(index) = index.filter(|_| job.starved_tasks > 0) else {
+            return false;
+        };
+        if job.start_limit(context.now.monotonic_ms) == 0 {
+            return false;
+        }
+        if !self.cluster.within_limit(context, &job.spec) {
+            let reservation = AgingReservation::TeamLimit(job.spec.team.clone());
+            self.reserve(job_id, reservation);
+            return false;
+        }
+        let usable = self.usable_machines(context, job);
+        let fitting = usable.filter(|machine| self.cluster.has_capacity(machine, &job.spec));
+        let best = fitting.min_by_key(|machine| self.cluster.first_fit_key(machine, &job.spec));
+        if let Some(machine) = best.map(|machine| machine.id.clone()) {
+            return self.cluster.place_task(&machine, job_id, index);
+        }
+        self.reserve_machine(context, job_id);
+        false
+    }
+
+    /// Machines on which the job's tasks may be placed and that are not reserved for another.
+    fn usable_machines<'b>(
+        &'b self,
+        context: &'b LeaderContext,
+        job: &'b JobState,
+    ) -> impl Iterator<Item = &'b Machine> {
+        let reservations = &self.scheduling.reservations;
+        let machines = self.cluster.machines.values();
+        machines.filter(move |machine| {
+            self.cluster.is_eligible(context, machine, job)
+                && !reservations.is_reserved_for_other(
+                    &self.cluster.jobs,
+                    &machine.id,
+                    &job.spec.id,
+                )
+        })
+    }
+
+    fn reserve(&mut self, job: &str, reservation: AgingReservation) {
+        let reservations = &mut self.scheduling.reservations.aging_reservations;
+        reservations.insert(job.into(), reservation);
+    }
+
+    /// Reserves a machine for the job, unless one that it may use is reserved already.
+    fn reserve_machine(&mut self, context: &LeaderContext, job_id: &str) {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
+            return;
+        };
+        let reserved = self.scheduling.reservations.aging_reservations.get(job_id);
+        if let Some(AgingReservation::Machine(id)) = reserved {
+            let machine = self.cluster.machines.get(id);
+            if machine.is_some_and(|machine| self.cluster.is_eligible(context, machine, job)) {
+                return;
             }
         }
+        let machine = self.machine_to_reserve(context, job);
+        let reservations = &mut self.scheduling.reservations.aging_reservations;
+        reservations.remove(job_id);
+        if let Some(machine) = machine {
+            log::info!("{job_id} is starved: {machine} is reserved for it");
+            self.reserve(job_id, AgingReservation::Machine(machine));
+        }
+    }
+
+    /// The machine where least has to end for a task of the job to fit.
+    fn machine_to_reserve(&self, context: &LeaderContext, job: &JobState) -> Option<String> {
+        let need = Resources::of_task(&job.spec);
+        let is_large_enough = |machine: &&Machine| {
+            let machine_type = self.cluster.machine_type(&machine.machine_type);
+            machine_type.is_some_and(|found| Resources::of_type(found).has_capacity_for(&need))
+        };
+        self.usable_machines(context, job)
+            .filter(is_large_enough)
+            .min_by_key(|machine| self.clearing_cost(machine))
+            .map(|machine| machine.id.clone())
+    }
+
+    fn clearing_cost(&self, machine: &Machine) -> ClearingCost {
+        let (used_cpus, _, _) = machine.used_resources();
+        ClearingCost {
+            urgent_cpus: (self.cluster.urgent_usage(machine).cpus * 1e3) as i64,
+            used_cpus: (used_cpus * 1e3) as u64,
+        }
     }
 
-    /// Room that the mapping leaves free goes, first fit, to jobs without a start for a while, whose
-    /// tasks it put off for too small a chance or queued behind others elsewhere: a low chance is
-    /// better than none beside an idle machine. Room that queued tasks wait for is taken later.
+    /// Places jobs without a start for a while, first fit, in the capacity that deadline placement leaves free.
+    /// Their tasks were deferred for too low an on-time probability or queued behind others elsewhere: a
+    /// low probability is better than none beside an idle machine. Capacity that queued tasks wait for is
+    /// taken later.
     pub fn place_deferred(&mut self, context: &LeaderContext) {
         let now = context.now.monotonic_ms;
-        let waited = |w: &JobState| {
-            w.last_placed_at.map_or_else(
-                || context.now.wall_ms.saturating_sub(w.submitted_at_ms),
-                |at| now.saturating_sub(at),
-            )
-        };
-        let waits = |id: &str, w: &JobState| {
-            waited(w) >= DEFERRED_PLACEMENT_MS
-                && (!w.pending_tasks.is_empty() || self.cluster.machines.queued_count(id) > 0)
-                && !w.end_write_in_flight
-                && now >= w.retry_at
-        };
-        let waiting = self.cluster.jobs.iter().filter(|(id, w)| waits(id, w));
-        let queued = |w: &JobState| waited(w) >= DEFERRED_PLACEMENT_QUEUED_MS;
-        let waiting = waiting.map(|(id, w)| (w.submitted_at_ms, id.clone(), queued(w)));
-        let mut waiting: Vec<(u64, String, bool)> = waiting.collect();
-        if waiting.is_empty() {
+        let deferred = oldest_first(&self.cluster.jobs, |id, job| {
+            ms_without_start(context, job) >= DEFERRED_PLACEMENT_MS
+                && (!job.pending_tasks.is_empty() || self.cluster.machines.queued_count(id) > 0)
+                && !job.end_write_in_flight
+                && now >= job.retry_at
+        });
+        if deferred.is_empty() {
             return;
         }
-        waiting.sort();
-        let roomy = self.cluster.machines_with_capacity(context);
-        let kept_for_s = self.backfill_windows_s(context);
-        for (_, job, queued) in waiting {
-            let Some(spec) = self.cluster.jobs.get(&job).map(|w| w.spec.clone()) else {
-                continue;
-            };
-            let run_s = self.scheduling.estimates.mean_run_s(&spec);
-            // Room kept for another is lent for as long as that one can't start there anyway.
-            let lent = |id: &String| queued && kept_for_s.get(id).is_some_and(|s| run_s <= *s);
-            let lent: Vec<String> = roomy.iter().filter(|id| lent(id)).cloned().collect();
-            while self.place_deferred_task(context, &job, &roomy, &lent, queued) {}
+        let machines = self.cluster.machines_with_capacity(context);
+        let backfill_windows_s = self.backfill_windows_s(context);
+        for job in deferred {
+            let scope = self.deferred_scope(context, &job, &machines, &backfill_windows_s);
+            while self.place_deferred_task(context, &job, &machines, &scope) {}
+        }
+    }
+
+    /// Reserved capacity may be used for as long as its owner can't start there anyway.
+    fn deferred_scope(
+        &mut self,
+        context: &LeaderContext,
+        job: &str,
+        machines: &[String],
+        backfill_windows_s: &HashMap<String, f64>,
+    ) -> DeferredScope {
+        let job = self.cluster.jobs.get(job);
+        let long_deferred =
+            job.filter(|job| ms_without_start(context, job) >= DEFERRED_PLACEMENT_QUEUED_MS);
+        let Some(job) = long_deferred else {
+            return DeferredScope::UnqueuedMachines;
+        };
+        let run_s = self.scheduling.estimates.mean_run_s(&job.spec);
+        let ends_in_time = |machine: &&String| {
+            let window_s = backfill_windows_s.get(*machine);
+            window_s.is_some_and(|window_s| run_s <= *window_s)
+        };
+        DeferredScope::AllMachines {
+            backfill_machines: machines.iter().filter(ends_in_time).cloned().collect(),
         }
     }
 
-    /// Machines with room that is kept, and in how many seconds about enough will have ended there
-    /// for the task it is kept for.
+    /// The machines reserved for starved jobs, with the seconds until enough will have ended there for
+    /// the task that they are reserved for.
     fn backfill_windows_s(&mut self, context: &LeaderContext) -> HashMap<String, f64> {
-        let mut out = HashMap::new();
-        for (job, kept) in &self.scheduling.reservations.aging_reservations.clone() {
-            let (AgingReservation::Machine(id), Some(w)) = (kept, self.cluster.jobs.get(job))
+        let mut windows_s = HashMap::new();
+        for (owner, reservation) in &self.scheduling.reservations.aging_reservations.clone() {
+            let (AgingReservation::Machine(machine), Some(job)) =
+                (reservation, self.cluster.jobs.get(owner))
             else {
                 continue;
             };
-            let spec = w.spec.clone();
-            if let Some(s) = self.capacity_available_in_s(context, id, &spec) {
-                out.insert(id.clone(), s);
+            let spec = job.spec.clone();
+            if let Some(window_s) = self.capacity_available_in_s(context, machine, &spec) {
+                windows_s.insert(machine.clone(), window_s);
             }
         }
-        out
+        windows_s
     }
 
-    /// Seconds until what runs on a machine has left room for a task, by the mean run times. `None`: what
+    /// Seconds until what runs on a machine has left capacity for a task, by the mean run times. `None`: what
     /// is there does not end by itself.
     fn capacity_available_in_s(
         &mut self,
@@ -154,186 +318,101 @@
         machine: &str,
         spec: &JobSpec,
     ) -> Option<f64> {
-        let m = self.cluster.machines.get(machine)?;
-        let (mut cpus, mut gpus, mut memory) =
-            m.free_resources(self.cluster.machine_type(&m.machine_type)?);
-        let mut ends: Vec<(f64, f64, f64, f64)> = vec![];
-        for p in m.placements.iter().filter(|p| p.is_present()) {
-            let Some(w) = self.cluster.jobs.get(&p.job).filter(|w| !w.is_urgent()) else {
-                continue;
-            };
-            let ran_s = p.running_at.map_or(0.0, |at| {
-                context.now.monotonic_ms.saturating_sub(at) as f64 / 1e3
-            });
-            // One that has run for longer than the mean may go on for as long again.
-            let left_s = (self.scheduling.estimates.mean_run_s(&w.spec) - ran_s).abs();
-            ends.push((left_s, p.cpus, p.gpus, p.memory_gb));
-        }
-        ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (left_s, c, g, mem) in ends {
-            (cpus, gpus, memory) = (cpus + c, gpus + g, memory + mem);
-            let fits = cpus + RESOURCE_EPSILON >= spec.cpus
-                && gpus + RESOURCE_EPSILON >= spec.gpus
-                && memory + RESOURCE_EPSILON >= spec.memory_gb;
-            if fits {
-                return Some(left_s);
+        let machine = self.cluster.machines.get(machine)?;
+        let mut free = self.cluster.free_resources(machine)?;
+        let present = machine.placements.iter().filter(|task| task.is_present());
+        let mut ends: Vec<ExpectedEnd> = present
+            .filter_map(|placement| {
+                let job = self.cluster.jobs.get(&placement.job);
+                let job = job.filter(|job| !job.is_urgent())?;
+                let mean_run_s = self.scheduling.estimates.mean_run_s(&job.spec);
+                Some(expected_end(context, placement, mean_run_s))
+            })
+            .collect();
+        ends.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
+        for end in ends {
+            free += end.resources;
+            if free.has_capacity_for(&Resources::of_task(spec)) {
+                return Some(end.in_s);
             }
         }
         None
     }
 
-    /// `lent`: machines whose room is kept for another but not needed yet. `queued`: machines with a
-    /// queue will do as well.
+    /// Places one deferred task. False: none is left, or no machine takes it.
     fn place_deferred_task(
         &mut self,
         context: &LeaderContext,
-        job: &str,
-        roomy: &[String],
-        lent: &[String],
-        queued: bool,
+        job_id: &str,
+        machines: &[String],
+        scope: &DeferredScope,
     ) -> bool {
-        let Some(w) = self.cluster.jobs.get(job) else {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
             return false;
         };
-        let held = self.cluster.machines.first_queued(job);
-        let Some(index) = w.pending_tasks.first().copied().or(held) else {
+        let queued = self.cluster.machines.first_queued(job_id);
+        let Some(index) = job.pending_tasks.first().copied().or(queued) else {
             return false;
         };
-        let spec = &w.spec;
-        let startable = w.start_limit(context.now.monotonic_ms) > 0;
-        if !startable
-            || !self.cluster.within_limit(context, spec, (0.0, 0.0))
-            || self
-                .scheduling
-                .reservations
-                .is_team_reserved_for_other(spec)
+        let reservations = &self.scheduling.reservations;
+        if job.start_limit(context.now.monotonic_ms) == 0
+            || !self.cluster.within_limit(context, &job.spec)
+            || reservations.is_team_reserved_for_other(&job.spec)
         {
             return false;
         }
-        let takes = |m: &&Machine| {
-            (queued || m.queued.is_empty())
-                && self.cluster.has_capacity(m, spec)
-                && self.cluster.is_eligible(context, m, w)
-                && (!self.scheduling.reservations.is_reserved_for_other(
-                    &self.cluster.jobs,
-                    &m.id,
-                    job,
-                ) || lent.contains(&m.id))
-                && !self
-                    .scheduling
-                    .reservations
-                    .is_being_cleared(context.now.monotonic_ms, &m.id)
-        };
-        let fit = roomy.iter().filter_map(|id| self.cluster.machines.get(id));
-        let fit = fit.filter(takes);
-        let fit = fit.min_by_key(|m| (!m.queued.is_empty(), self.cluster.first_fit_key(m, spec)));
-        let Some(id) = fit.map(|m| m.id.clone()) else {
-            return false;
-        };
-        log::debug!("{job}/{index} was put off for long and takes room on {id}");
-        self.cluster.dequeue(job, index);
-        let placed = self.cluster.place_task(&id, job, index);
-        if !placed {
-            self.cluster.requeue_task(job, index);
-        }
-        placed
-    }
-
-    /// Places one task that is owed. False: there is none, or no room for it yet.
-    fn place_starved_task(&mut self, context: &LeaderContext, job: &str) -> bool {
-        let Some(w) = self.cluster.jobs.get(job).filter(|w| w.starved_tasks > 0) else {
-            return false;
-        };
-        let Some(index) = w
-            .next_unpruned()
-            .or_else(|| w.pending_tasks.first().copied())
-        else {
-            return false;
-        };
-        if w.start_limit(context.now.monotonic_ms) == 0 {
-            return false;
-        }
-        let spec = w.spec.clone();
-        if !self.cluster.within_limit(context, &spec, (0.0, 0.0)) {
-            let kept = AgingReservation::TeamLimit(spec.team);
-            self.scheduling
-                .reservations
-                .aging_reservations
-                .insert(job.into(), kept);
+        let Some(machine) = self.machine_for_deferred(context, job, machines, scope) else {
             return false;
-        }
-        let fit = self
-            .cluster
-            .machines
-            .values()
-            .filter(|m| {
-                self.cluster.has_capacity(m, &spec)
-                    && self.cluster.is_eligible(context, m, w)
-                    && !self.scheduling.reservations.is_reserved_for_other(
-                        &self.cluster.jobs,
-                        &m.id,
-                        job,
-                    )
-            })
-            .min_by_key(|m| self.cluster.first_fit_key(m, &spec))
-            .map(|m| m.id.clone());
-        if let Some(id) = fit {
-            return self.cluster.place_task(&id, job, index);
-        }
-        let usable = |id: &str| {
-            self.cluster
-                .machines
-                .get(id)
-                .is_some_and(|m| self.cluster.is_eligible(context, m, w))
         };
-        if matches!(self.scheduling.reservations.aging_reservations.get(job), Some(AgingReservation::Machine(id)) if usable(id))
-        {
-            return false;
+        log::debug!("{job_id}/{index} was deferred for long and is placed on {machine}");
+        self.cluster.dequeue(job_id, index);
+        let is_placed = self.cluster.place_task(&machine, job_id, index);
+        if !is_placed {
+            self.cluster.requeue_task(job_id, index);
         }
-        self.scheduling.reservations.aging_reservations.remove(job);
-        if let Some(id) = self.machine_for_aging_reservation(context, job, w) {
-            log::info!("{job} waited for long: room on {id} is kept for it");
-            self.scheduling
-                .reservations
-                .aging_reservations
-                .insert(job.into(), AgingReservation::Machine(id));
-        }
-        false
+        is_placed
     }
 
-    /// Where least has to end for a task of the job to fit.
-    fn machine_for_aging_reservation(
+    /// The best machine for a deferred task: one without queued tasks, then by first fit.
+    fn machine_for_deferred(
         &self,
         context: &LeaderContext,
-        job: &str,
-        w: &JobState,
+        job: &JobState,
+        machines: &[String],
+        scope: &DeferredScope,
     ) -> Option<String> {
-        let spec = &w.spec;
-        let holds = |m: &Machine| {
-            self.cluster.machine_type(&m.machine_type).is_some_and(|t| {
-                t.cpus + RESOURCE_EPSILON >= spec.cpus
-                    && t.gpus + RESOURCE_EPSILON >= spec.gpus
-                    && t.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
-            })
+        let reservations = &self.scheduling.reservations;
+        let accepts = |machine: &&Machine| {
+            let is_reserved = || {
+                reservations.is_reserved_for_other(&self.cluster.jobs, &machine.id, &job.spec.id)
+            };
+            (scope.allows_queue() || machine.queued.is_empty())
+                && self.cluster.has_capacity(machine, &job.spec)
+                && self.cluster.is_eligible(context, machine, job)
+                && (!is_reserved() || scope.may_backfill(&machine.id))
+                && !reservations.is_being_cleared(context.now.monotonic_ms, &machine.id)
         };
-        self.cluster
-            .machines
-            .values()
-            .filter(|m| {
-                holds(m)
-                    && self.cluster.is_eligible(context, m, w)
-                    && !self.scheduling.reservations.is_reserved_for_other(
-                        &self.cluster.jobs,
-                        &m.id,
-                        job,
-                    )
-            })
-            .min_by_key(|m| {
-                (
-                    (self.cluster.urgent_usage(m).0 * 1e3) as i64,
-                    (m.used_resources().0 * 1e3) as Millis,
-                )
+        let machines = machines.iter();
+        machines
+            .filter_map(|id| self.cluster.machines.get(id))
+            .filter(accepts)
+            .min_by_key(|machine| {
+                let has_queue = !machine.queued.is_empty();
+                (has_queue, self.cluster.first_fit_key(machine, &job.spec))
             })
-            .map(|m| m.id.clone())
+            .map(|machine| machine.id.clone())
+    }
+}
+
+/// When a task ends by the mean run time of its job. One that has run for longer than the mean may go on
+/// for as long again.
+fn expected_end(context: &LeaderContext, placement: &Placement, mean_run_s: f64) -> ExpectedEnd {
+    let ran_ms = placement
+        .running_at
+        .map_or(0, |at| context.now.monotonic_ms.saturating_sub(at));
+    let ran_s = ran_ms as f64 / 1e3;
+    ExpectedEnd {
+        in_s: (mean_run_s - ran_s).abs(),
+        resources: placement.resources(),
     }
 }
--- a/crates/control/src/scheduling/deadline_placement.rs
+++ b/crates/control/src/scheduling/deadline_placement.rs
@@ -1,20 +1,21 @@
-//! One mapping event: deadline work goes to the machines where it has the best chance.
+//! One pass of deadline placement: tasks go to the machines where their on-time probability is highest.
 use super::machine_queues::{machine_queues, MachineQueue, OnTimeAverage};
-use super::state::PlacementRank;
-use super::state::SchedulingState;
-use crate::cluster::image_fetch_s_per_gb;
-use crate::cluster::ClusterState;
-use crate::cluster::Machine;
-use crate::cluster::{is_immediate, zone_allows};
+use super::state::{PlacementRank, SchedulingState};
+use crate::cluster::{
+    image_fetch_s_per_gb, is_immediate, zone_allows, ClusterState, JobState, Machine,
+};
 use crate::context::LeaderContext;
+use crate::resources::Resources;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
 use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE};
-use stonegw_sched::placement_estimate::{earliest_finish, EstimatedStart, PlacementScore};
+use stonegw_sched::placement_estimate::{
+    earliest_finish, EstimatedStart, EstimatedWait, PlacementScore,
+};
 use stonegw_sched::time_distribution::TimeDistribution;
 use stonegw_wire::msg::JobSpec;
 
-/// Run times of one job on one machine type, as a mapping uses them.
+/// Run times of one job on one machine type, as a pass uses them.
 struct RunTimeEstimate {
     distribution: TimeDistribution,
     cumulative: TimeDistribution,
@@ -27,75 +28,147 @@
     due_s: f64,
     remaining_tasks: usize,
     rank: PlacementRank,
-    /// Its image's number in this mapping.
+    /// Its image's number in this pass.
     image_id: usize,
-    /// By machine type.
+    /// By machine type. `None`: there is no such machine, or the job may not run on it.
     run_times_by_type: Vec<Option<RunTimeEstimate>>,
     best_placement: Option<BestPlacement>,
 }
 
+impl DeadlineCandidate {
+    /// Whether a task of it would be placed at its best on-time probability.
+    fn reaches(&self, threshold: f64) -> bool {
+        let best = self.best_placement.as_ref();
+        best.is_some_and(|best| best.score.on_time_probability >= threshold)
+    }
+}
+
+/// The machine where a candidate's next task has the highest on-time probability.
+#[derive(Clone, Copy)]
+struct BestPlacement {
+    queue_index: usize,
+    /// The queue's changes when the score was computed.
+    queue_change_count: u32,
+    score: PlacementScore,
+}
+
 /// Numbers for the images that waiting jobs need: each is compared with all machines'.
 #[derive(Default)]
 struct ImageIds(HashMap<String, usize>);
 
 impl ImageIds {
     fn get_or_assign(&mut self, image: &str) -> usize {
-        if let Some(n) = self.0.get(image) {
-            return *n;
+        if let Some(id) = self.0.get(image) {
+            return *id;
         }
-        let n = self.0.len();
-        self.0.insert(image.to_owned(), n);
-        n
+        let id = self.0.len();
+        self.0.insert(image.to_owned(), id);
+        id
     }
 
-    fn ids_on_machine(&self, m: &Machine) -> Vec<usize> {
-        let known = m.cached_images.iter();
-        known.filter_map(|(i, _)| self.0.get(i).copied()).collect()
+    fn ids_on_machine(&self, machine: &Machine) -> Vec<usize> {
+        let cached = machine.cached_images.iter();
+        cached
+            .filter_map(|(image, _)| self.0.get(image).copied())
+            .collect()
     }
 }
 
 impl MachineQueue {
-    /// Takes over what a placement changes of the machine, as far as offers depend on it.
-    fn refresh_images(&mut self, m: &Machine, images: &ImageIds, rate: f64) {
-        self.image_ids = images.ids_on_machine(m);
-        self.image_fetch_s_per_gb = image_fetch_s_per_gb(m, rate);
+    /// Takes over what a placement changes of the machine, as far as scores depend on it.
+    fn refresh_images(&mut self, cluster: &ClusterState, image_ids: &ImageIds) {
+        if let Some(machine) = cluster.machines.get(&self.id) {
+            let machine_type = &cluster.catalog.machine_types[self.machine_type_index];
+            self.image_ids = image_ids.ids_on_machine(machine);
+            self.image_fetch_s_per_gb = image_fetch_s_per_gb(machine, machine_type.fetch_gb_per_s);
+        }
     }
 
-    fn image_fetch_s(&self, c: &DeadlineCandidate) -> f64 {
-        if self.image_ids.contains(&c.image_id) {
+    fn image_fetch_s(&self, candidate: &DeadlineCandidate) -> f64 {
+        if self.image_ids.contains(&candidate.image_id) {
             0.0
         } else {
-            self.image_fetch_s_per_gb * c.spec.image_size_gb
+            self.image_fetch_s_per_gb * candidate.spec.image_size_gb
+        }
+    }
+
+    /// The score of a candidate's next task here. `None`: it can't be placed here, or its score can't be
+    /// better than the best so far.
+    fn score(
+        &mut self,
+        candidate: &DeadlineCandidate,
+        best: Option<&PlacementScore>,
+    ) -> Option<PlacementScore> {
+        let spec = &candidate.spec;
+        let due_s = candidate.due_s;
+        let run_times = candidate.run_times_by_type[self.machine_type_index].as_ref()?;
+        if self.is_spot && !spec.allows_spot {
+            return None;
+        }
+        let EstimatedStart { wait, .. } =
+            self.forecast
+                .estimate_start(spec.cpus, spec.gpus, spec.memory_gb)?;
+        let image_fetch_s = self.image_fetch_s(candidate);
+        let mean_wait_s = wait.as_ref().map_or(0.0, |wait| wait.mean_s);
+        let expected_finish_s = mean_wait_s + image_fetch_s + run_times.mean_s;
+        // The full sum is made only where it can matter.
+        let bound = probability_bound(run_times, wait.as_ref(), image_fetch_s, due_s);
+        if best.is_some_and(|best| !best.can_be_beaten_by(bound, expected_finish_s)) {
+            return None;
         }
+        let cumulative = &run_times.cumulative;
+        let on_time_probability = match &wait {
+            None => cumulative.on_time_probability_after(image_fetch_s, due_s),
+            // The image comes while the task waits, or after: a bound is enough here.
+            Some(wait) => wait
+                .distribution
+                .on_time_probability(cumulative, due_s - image_fetch_s),
+        };
+        Some(PlacementScore {
+            on_time_probability,
+            expected_finish_s,
+            price_per_cpu: self.price_per_cpu,
+            cpu_headroom: self.forecast.free_cpus - spec.cpus,
+        })
     }
 }
 
-#[derive(Clone, Copy)]
-struct BestPlacement {
-    queue_index: usize,
-    /// The seat's changes when the offer was made.
-    queue_change_count: u32,
-    score: PlacementScore,
+/// An on-time probability that no distribution of the wait can exceed.
+fn probability_bound(
+    run_times: &RunTimeEstimate,
+    wait: Option<&EstimatedWait>,
+    image_fetch_s: f64,
+    due_s: f64,
+) -> f64 {
+    let cumulative = &run_times.cumulative;
+    match wait {
+        None => cumulative.on_time_probability_after(image_fetch_s, due_s),
+        Some(wait) => {
+            let start_s = image_fetch_s + wait.earliest_s;
+            cumulative.on_time_probability_after(start_s, due_s) + CHANCE_TOLERANCE
+        }
+    }
 }
 
-/// What one mapping works on.
+/// What one pass works on.
 struct DeadlinePass {
     machine_queues: Vec<MachineQueue>,
     candidates: Vec<DeadlineCandidate>,
     image_ids: ImageIds,
-    /// Tasks with a smaller chance are deferred.
+    /// Tasks with a lower on-time probability are deferred.
     deferring_threshold: f64,
-    /// CPUs and cards that this mapping holds for teams, besides what is placed.
-    queued_by_team: HashMap<String, (f64, f64)>,
+    /// What this pass has queued for each team, on top of what is placed.
+    queued_by_team: HashMap<String, Resources>,
 }
 
-/// Places tasks with a deadline where their chance to be in time is best.
+/// Places tasks with a deadline where their on-time probability is highest.
 pub struct DeadlinePlacement<'a> {
     cluster: &'a mut ClusterState,
     scheduling: &'a mut SchedulingState,
 }
 
 impl<'a> DeadlinePlacement<'a> {
+    /// Works on this cluster, with what the scheduler's parts share.
     pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
         DeadlinePlacement {
             cluster,
@@ -105,358 +178,306 @@
 }
 
 impl DeadlinePlacement<'_> {
-    /// One mapping event.
+    /// One pass.
     pub(super) fn place_deadline_jobs(&mut self, context: &LeaderContext) {
         self.record_deadline_misses(context.now.wall_ms);
-        let mut robustness = OnTimeAverage::default();
-        let mut seats = machine_queues(self.cluster, self.scheduling, context, &mut robustness);
-        let mut images = ImageIds::default();
-        let mut candidates = self.deadline_candidates(context, &seats, &mut images);
-        for s in &mut seats {
-            if let Some(m) = self.cluster.machines.get(&s.id) {
-                s.refresh_images(
-                    m,
-                    &images,
-                    self.cluster.catalog.machine_types[s.machine_type_index].fetch_gb_per_s,
-                );
-            }
+        let mut on_time_average = OnTimeAverage::default();
+        let mut queues =
+            machine_queues(self.cluster, self.scheduling, context, &mut on_time_average);
+        let mut image_ids = ImageIds::default();
+        let mut candidates = self.deadline_candidates(context, &queues, &mut image_ids);
+        for queue in &mut queues {
+            queue.refresh_images(self.cluster, &image_ids);
         }
-        for c in &mut candidates {
-            c.best_placement = self.best_placement(&mut seats, c);
+        for candidate in &mut candidates {
+            candidate.best_placement = self.best_placement(&mut queues, candidate);
         }
-        let threshold = self.adjust_deferring_threshold(&seats, &candidates, robustness.mean());
-        let mut mapping = DeadlinePass {
-            machine_queues: seats,
+        let robustness = on_time_average.mean();
+        let deferring_threshold = self.adjust_deferring_threshold(&queues, &candidates, robustness);
+        let mut pass = DeadlinePass {
+            machine_queues: queues,
             candidates,
-            image_ids: images,
-            deferring_threshold: threshold,
+            image_ids,
+            deferring_threshold,
             queued_by_team: HashMap::new(),
         };
-        while self
-            .place_next_candidate(context, &mut mapping)
-            .is_continue()
-        {}
+        while self.place_next_candidate(context, &mut pass).is_continue() {}
     }
 
-    /// Misses since the last mapping feed the toggle.
+    /// Deadlines missed since the last pass set the overload toggle.
     fn record_deadline_misses(&mut self, wall_ms: u64) {
-        let mut misses = 0;
-        for w in self.cluster.jobs.values_mut() {
-            if !w.deadline_missed && w.seconds_to_deadline(wall_ms).is_some_and(|d| d <= 0.0) {
-                w.deadline_missed = true;
-                // That a job fails everywhere tells nothing of the load.
-                if w.failures.job_is_broken() {
-                    continue;
-                }
-                misses += (w.spec.task_count - w.done_count) as usize;
+        let mut missed_tasks = 0;
+        for job in self.cluster.jobs.values_mut() {
+            let due_s = job.seconds_to_deadline(wall_ms);
+            if job.deadline_missed || due_s.is_none_or(|due_s| due_s > 0.0) {
+                continue;
+            }
+            job.deadline_missed = true;
+            // A job that fails everywhere tells nothing of the load.
+            if !job.failures.job_is_broken() {
+                missed_tasks += (job.spec.task_count - job.done_count) as usize;
             }
         }
-        let was = self.scheduling.pruner.overload_toggle;
-        self.scheduling.pruner.record_misses(misses);
-        if was != self.scheduling.pruner.overload_toggle {
-            log::info!(
-                "pruning toggle {:?} -> {:?}",
-                was,
-                self.scheduling.pruner.overload_toggle
-            );
+        let pruner = &mut self.scheduling.pruner;
+        let before = pruner.overload_toggle;
+        pruner.record_misses(missed_tasks);
+        let after = pruner.overload_toggle;
+        if before != after {
+            log::info!("pruning toggle {before:?} -> {after:?}");
         }
     }
 
-    /// Adjusts the deferring threshold to what waits and what there is room for, and returns it.
+    /// Adjusts the deferring threshold to what waits and what there is capacity for, and returns it.
     fn adjust_deferring_threshold(
         &mut self,
-        seats: &[MachineQueue],
+        queues: &[MachineQueue],
         candidates: &[DeadlineCandidate],
         robustness: f64,
     ) -> f64 {
-        let waiting: usize = candidates.iter().map(|c| c.remaining_tasks).sum();
-        let cpus = candidates.iter().map(|c| c.spec.cpus);
-        let smallest = cpus.fold(f64::MAX, f64::min);
-        let free_slots: usize = seats
+        let waiting_tasks: usize = candidates
+            .iter()
+            .map(|candidate| candidate.remaining_tasks)
+            .sum();
+        let cpus = candidates.iter().map(|candidate| candidate.spec.cpus);
+        let least_cpus = cpus.fold(f64::MAX, f64::min).max(0.1);
+        let free_slots = queues
             .iter()
-            .map(|s| {
-                let now_free = (s.forecast.free_cpus.max(0.0) / smallest.max(0.1)) as usize;
-                now_free + MAX_QUEUED_TASKS_PER_MACHINE.saturating_sub(s.forecast.queued_count)
+            .map(|queue| {
+                let forecast = &queue.forecast;
+                let free_now = (forecast.free_cpus.max(0.0) / least_cpus) as usize;
+                free_now + MAX_QUEUED_TASKS_PER_MACHINE.saturating_sub(forecast.queued_count)
             })
             .sum();
         let pruner = &mut self.scheduling.pruner;
-        let old = pruner.deferring_threshold;
-        let passing = candidates
+        let before = pruner.deferring_threshold;
+        let passing_tasks = candidates
             .iter()
-            .filter(|c| {
-                c.best_placement
-                    .as_ref()
-                    .is_some_and(|b| b.score.on_time_probability >= old)
-            })
-            .map(|c| c.remaining_tasks)
+            .filter(|candidate| candidate.reaches(before))
+            .map(|candidate| candidate.remaining_tasks)
             .sum();
-        pruner.adjust_deferring_threshold(waiting, free_slots, passing, robustness);
+        pruner.adjust_deferring_threshold(waiting_tasks, free_slots, passing_tasks, robustness);
         pruner.deferring_threshold
     }
 
-    /// Puts the next task on a machine or in its queue, or looks again for its best machine.
+    /// Puts the next task on a machine or in its queue, or looks again for its best machine. Break: no task
+    /// is left to be placed.
     fn place_next_candidate(
         &mut self,
         context: &LeaderContext,
-        mapping: &mut DeadlinePass,
+        pass: &mut DeadlinePass,
     ) -> ControlFlow<()> {
-        let Some(next) = self.next_candidate(context, mapping) else {
+        let Some(next) = self.next_candidate(context, pass) else {
             return ControlFlow::Break(());
         };
-        let seats = &mut mapping.machine_queues;
-        let c = &mut mapping.candidates[next];
-        let Some(best) = c.best_placement else {
+        let queues = &mut pass.machine_queues;
+        let candidate = &mut pass.candidates[next];
+        let Some(best) = candidate.best_placement else {
             return ControlFlow::Break(());
         };
-        // Offers only get worse while tasks are put on queues: so it is enough to look
+        // Scores only get worse while tasks are put on queues: so it is enough to look
         // again at the one that would be next.
-        let zoned = c.spec.requires_single_zone || c.spec.spreads_across_zones;
-        if seats[best.queue_index].change_count != best.queue_change_count
-            || zoned && c.remaining_tasks > 0 && !self.is_best_zone_allowed(seats, c)
-        {
-            c.best_placement = self.best_placement(seats, c);
+        let spec = &candidate.spec;
+        let is_zone_dependent = spec.requires_single_zone || spec.spreads_across_zones;
+        let has_changed = queues[best.queue_index].change_count != best.queue_change_count;
+        let must_search_again = has_changed
+            || is_zone_dependent
+                && candidate.remaining_tasks > 0
+                && !self.is_best_zone_allowed(queues, candidate);
+        if must_search_again {
+            candidate.best_placement = self.best_placement(queues, candidate);
             return ControlFlow::Continue(());
         }
-        self.assign_next_task(mapping, next, best.queue_index)
+        self.assign_next_task(pass, next, best.queue_index)
     }
 
-    /// Of the candidates of the highest rank that their teams' limits leave room for, the one
+    /// Of the candidates of the highest rank that stay within their teams' limits, the one
     /// whose next task would finish soonest.
-    fn next_candidate(&self, context: &LeaderContext, mapping: &mut DeadlinePass) -> Option<usize> {
-        let mut rank: Option<PlacementRank> = None;
-        let mut open = vec![false; mapping.candidates.len()];
-        for (i, c) in mapping.candidates.iter_mut().enumerate() {
-            let deferred =
-                |b: &BestPlacement| b.score.on_time_probability < mapping.deferring_threshold;
-            if c.remaining_tasks == 0 || c.best_placement.as_ref().is_none_or(deferred) {
+    fn next_candidate(&self, context: &LeaderContext, pass: &mut DeadlinePass) -> Option<usize> {
+        let reservations = &self.scheduling.reservations;
+        let mut open = vec![];
+        for (index, candidate) in pass.candidates.iter_mut().enumerate() {
+            let spec = &candidate.spec;
+            if candidate.remaining_tasks == 0 || !candidate.reaches(pass.deferring_threshold) {
                 continue;
             }
-            let e = mapping.queued_by_team.get(&c.spec.team).copied();
-            let e = e.unwrap_or_default();
-            if self.cluster.within_limit(context, &c.spec, e)
-                && !self
-                    .scheduling
-                    .reservations
-                    .is_team_reserved_for_other(&c.spec)
+            let queued = pass.queued_by_team.get(&spec.team).copied();
+            let queued = queued.unwrap_or_default();
+            if !self.cluster.within_limit_with(context, spec, queued)
+                || reservations.is_team_reserved_for_other(spec)
             {
-                c.rank.1 = self.cluster.within_quota(context, &c.spec, e);
-                open[i] = true;
-                rank = rank.max(Some(c.rank));
+                continue;
             }
+            candidate.rank.is_within_quota = self.cluster.within_quota_with(context, spec, queued);
+            open.push((index, &*candidate));
         }
-        let rank = rank?;
-        let offers = mapping
-            .candidates
-            .iter()
-            .enumerate()
-            .filter(|(i, c)| open[*i] && c.rank == rank)
-            .filter_map(|(i, c)| Some((i, c.best_placement.as_ref()?.score)));
-        earliest_finish(offers).map(|(i, _)| i)
+        let highest_rank = open.iter().map(|(_, candidate)| candidate.rank).max()?;
+        let scores = open
+            .into_iter()
+            .filter(|(_, candidate)| candidate.rank == highest_rank)
+            .filter_map(|(index, candidate)| {
+                Some((index, candidate.best_placement.as_ref()?.score))
+            });
+        earliest_finish(scores).map(|(index, _)| index)
     }
 
-    /// Places the candidate's next task there if there is room now, or holds it in the queue.
+    /// Places the candidate's next task on the machine if it has the capacity now, or puts it in its queue.
     fn assign_next_task(
         &mut self,
-        mapping: &mut DeadlinePass,
-        candidate: usize,
-        seat: usize,
+        pass: &mut DeadlinePass,
+        candidate_index: usize,
+        queue_index: usize,
     ) -> ControlFlow<()> {
-        let c = &mut mapping.candidates[candidate];
-        let seat = &mut mapping.machine_queues[seat];
-        let (cpus, gpus, memory) = (c.spec.cpus, c.spec.gpus, c.spec.memory_gb);
-        let Some(start) = seat.forecast.estimate_start(cpus, gpus, memory) else {
-            c.best_placement = None;
+        let candidate = &mut pass.candidates[candidate_index];
+        let queue = &mut pass.machine_queues[queue_index];
+        let spec = &candidate.spec;
+        let need = Resources::of_task(spec);
+        let start = queue
+            .forecast
+            .estimate_start(need.cpus, need.gpus, need.memory_gb);
+        let Some(start) = start else {
+            candidate.best_placement = None;
             return ControlFlow::Continue(());
         };
-        let (Some(w), Some(m)) = (
-            self.cluster.jobs.get(&c.spec.id),
-            self.cluster.machines.get(&seat.id),
-        ) else {
+        let job = self.cluster.jobs.get(&spec.id);
+        let machine = self.cluster.machines.get(&queue.id);
+        let (Some(job), Some(machine)) = (job, machine) else {
             return ControlFlow::Break(());
         };
-        let Some(index) = w.next_unpruned() else {
-            c.remaining_tasks = 0;
+        let Some(index) = job.next_unpruned() else {
+            candidate.remaining_tasks = 0;
             return ControlFlow::Continue(());
         };
-        c.remaining_tasks -= 1;
-        let Some(runs) = &c.run_times_by_type[seat.machine_type_index] else {
+        candidate.remaining_tasks -= 1;
+        let Some(run_times) = &candidate.run_times_by_type[queue.machine_type_index] else {
             return ControlFlow::Continue(());
         };
+        let image_fetch_s = self.cluster.image_fetch_s(machine, spec);
         let end = match &start.wait {
-            None => runs
-                .distribution
-                .shift(self.cluster.image_fetch_s(m, &c.spec)),
-            Some(at) => at.distribution.convolve(&runs.distribution),
+            None => run_times.distribution.shift(image_fetch_s),
+            Some(wait) => wait.distribution.convolve(&run_times.distribution),
         };
-        let (id, job) = (seat.id.clone(), c.spec.id.clone());
-        if start.wait.is_none() {
-            if !self.cluster.place_task(&id, &job, index) {
-                return ControlFlow::Continue(());
-            }
-        } else {
-            let e = mapping
-                .queued_by_team
-                .entry(c.spec.team.clone())
-                .or_default();
-            *e = (e.0 + cpus, e.1 + gpus);
-            self.cluster.enqueue(&id, job, index);
-        }
-        seat.forecast.add_task(&start, end, cpus, gpus, memory);
-        seat.change_count += 1;
-        if let Some(m) = self.cluster.machines.get(&id) {
-            let rate = self.cluster.catalog.machine_types[seat.machine_type_index].fetch_gb_per_s;
-            seat.refresh_images(m, &mapping.image_ids, rate);
+        if start.wait.is_some() {
+            *pass.queued_by_team.entry(spec.team.clone()).or_default() += need;
+            self.cluster.enqueue(&queue.id, spec.id.clone(), index);
+        } else if !self.cluster.place_task(&queue.id, &spec.id, index) {
+            return ControlFlow::Continue(());
         }
+        queue
+            .forecast
+            .add_task(&start, end, need.cpus, need.gpus, need.memory_gb);
+        queue.change_count += 1;
+        queue.refresh_images(self.cluster, &pass.image_ids);
         ControlFlow::Continue(())
     }
 
     /// Whether a job's best machine is still in a zone where the job may go.
-    fn is_best_zone_allowed(&self, seats: &[MachineQueue], c: &DeadlineCandidate) -> bool {
-        let place = c
-            .best_placement
-            .and_then(|b| self.cluster.machines.get(&seats[b.queue_index].id));
-        let work = self.cluster.jobs.get(&c.spec.id);
-        matches!((place, work), (Some(m), Some(w)) if zone_allows(&self.cluster.machines, w, &m.zone))
+    fn is_best_zone_allowed(&self, queues: &[MachineQueue], candidate: &DeadlineCandidate) -> bool {
+        let best = candidate.best_placement;
+        let machine = best.and_then(|best| self.cluster.machines.get(&queues[best.queue_index].id));
+        let job = self.cluster.jobs.get(&candidate.spec.id);
+        let (Some(machine), Some(job)) = (machine, job) else {
+            return false;
+        };
+        zone_allows(&self.cluster.machines, job, &machine.zone)
     }
 
-    /// What waits and may still be in time, a job standing for its like tasks.
+    /// Jobs with waiting tasks that may still be on time, each standing for its like tasks.
     fn deadline_candidates(
         &mut self,
         context: &LeaderContext,
-        seats: &[MachineQueue],
-        images: &mut ImageIds,
+        queues: &[MachineQueue],
+        image_ids: &mut ImageIds,
     ) -> Vec<DeadlineCandidate> {
-        let now = context.now.monotonic_ms;
-        let mut present = vec![false; self.cluster.catalog.machine_types.len()];
-        for s in seats {
-            present[s.machine_type_index] = true;
+        let now = context.now;
+        let mut has_machine = vec![false; self.cluster.catalog.machine_types.len()];
+        for queue in queues {
+            has_machine[queue.machine_type_index] = true;
         }
-        let mut out = vec![];
-        for w in self.cluster.jobs.values() {
-            if is_immediate(w)
-                || w.end_write_in_flight
-                || w.start_limit(now) == 0
-                || w.pending_tasks.is_empty()
-            {
+        let mut candidates = vec![];
+        for job in self.cluster.jobs.values() {
+            let start_limit = job.start_limit(now.monotonic_ms);
+            let remaining_tasks = job.unpruned_count().min(start_limit);
+            if is_immediate(job) || job.end_write_in_flight || remaining_tasks == 0 {
                 continue;
             }
-            let Some(due) = w
-                .seconds_to_deadline(context.now.wall_ms)
-                .filter(|d| *d > 0.0)
-            else {
+            let due_s = job.seconds_to_deadline(now.wall_ms);
+            let Some(due_s) = due_s.filter(|due_s| *due_s > 0.0) else {
                 continue;
             };
-            let left = w.unpruned_count().min(w.start_limit(now));
-            if left == 0 {
-                continue;
-            }
-            let estimates = &mut self.scheduling.estimates;
-            let runs = self
-                .cluster
-                .catalog
-                .machine_types
-                .iter()
-                .zip(&present)
-                .map(|(t, here)| {
-                    let suits = w
-                        .spec
-                        .machine_types
-                        .as_ref()
-                        .is_none_or(|l| l.contains(&t.name));
-                    (*here && suits).then(|| {
-                        let r = estimates.run_time_histogram(&w.spec, &t.name);
-                        RunTimeEstimate {
-                            distribution: r.distribution().clone(),
-                            cumulative: r.cumulative().clone(),
-                            mean_s: r.mean_s(),
-                        }
-                    })
-                });
-            out.push(DeadlineCandidate {
-                due_s: due,
-                remaining_tasks: left,
-                rank: (w.spec.priority, false),
-                image_id: images.get_or_assign(&w.spec.image),
-                run_times_by_type: runs.collect(),
+            candidates.push(DeadlineCandidate {
+                due_s,
+                remaining_tasks,
+                rank: PlacementRank {
+                    priority: job.spec.priority,
+                    is_within_quota: false,
+                },
+                image_id: image_ids.get_or_assign(&job.spec.image),
+                run_times_by_type: run_times_by_type(
+                    self.cluster,
+                    self.scheduling,
+                    job,
+                    &has_machine,
+                ),
                 best_placement: None,
-                spec: w.spec.clone(),
+                spec: job.spec.clone(),
             });
         }
-        out
+        candidates
     }
 
-    /// The machine with the best chance for the job's next task.
+    /// The machine with the highest on-time probability for the job's next task.
     fn best_placement(
         &self,
-        seats: &mut [MachineQueue],
-        c: &DeadlineCandidate,
+        queues: &mut [MachineQueue],
+        candidate: &DeadlineCandidate,
     ) -> Option<BestPlacement> {
-        let w = self.cluster.jobs.get(&c.spec.id)?;
-        let spec = &c.spec;
+        let job = self.cluster.jobs.get(&candidate.spec.id)?;
         let mut best: Option<BestPlacement> = None;
-        for (i, seat) in seats.iter_mut().enumerate() {
-            let Some(runs) = &c.run_times_by_type[seat.machine_type_index] else {
+        for (queue_index, queue) in queues.iter_mut().enumerate() {
+            let best_score = best.as_ref().map(|best| &best.score);
+            let Some(score) = queue.score(candidate, best_score) else {
                 continue;
             };
-            if seat.spot && !spec.allows_spot {
-                continue;
-            }
-            let start = seat
-                .forecast
-                .estimate_start(spec.cpus, spec.gpus, spec.memory_gb);
-            let Some(EstimatedStart { wait, .. }) = start else {
-                continue;
-            };
-            let fetch = seat.image_fetch_s(c);
-            // What no wait can better; the full sum is made only where it can matter.
-            let (earliest, mean) = wait
-                .as_ref()
-                .map_or((0.0, 0.0), |w| (w.earliest_s, w.mean_s));
-            let bound = runs
-                .cumulative
-                .on_time_probability_after(fetch + earliest, c.due_s);
-            let finish = mean + fetch + runs.mean_s;
-            let bound = if wait.is_some() {
-                bound + CHANCE_TOLERANCE
-            } else {
-                bound
-            };
-            if best
-                .as_ref()
-                .is_some_and(|b| !b.score.can_be_beaten_by(bound, finish))
-            {
-                continue;
-            }
-            let offer = PlacementScore {
-                // The image comes while the task waits, or after: a bound is enough here.
-                on_time_probability: match &wait {
-                    None => runs.cumulative.on_time_probability_after(fetch, c.due_s),
-                    Some(at) => at
-                        .distribution
-                        .on_time_probability(&runs.cumulative, c.due_s - fetch),
-                },
-                expected_finish_s: finish,
-                price_per_cpu: seat.price_per_cpu,
-                cpu_headroom: seat.forecast.free_cpus - spec.cpus,
-            };
-            let better = best.as_ref().is_none_or(|b| offer.is_better_than(&b.score));
-            let suits = || {
-                let m = self.cluster.machines.get(&seat.id);
-                m.is_some_and(|m| self.cluster.meets_constraints(m, w))
-                    && !self.scheduling.reservations.is_reserved_for_other(
-                        &self.cluster.jobs,
-                        &seat.id,
-                        &spec.id,
-                    )
-            };
-            if better && suits() {
+            let is_better = best_score.is_none_or(|best| score.is_better_than(best));
+            if is_better && self.may_queue_on(&queue.id, job) {
                 best = Some(BestPlacement {
-                    queue_index: i,
-                    queue_change_count: seat.change_count,
-                    score: offer,
+                    queue_index,
+                    queue_change_count: queue.change_count,
+                    score,
                 });
             }
         }
         best
     }
+
+    fn may_queue_on(&self, machine: &str, job: &JobState) -> bool {
+        let reservations = &self.scheduling.reservations;
+        let jobs = &self.cluster.jobs;
+        let found = self.cluster.machines.get(machine);
+        found.is_some_and(|found| self.cluster.meets_constraints(found, job))
+            && !reservations.is_reserved_for_other(jobs, machine, &job.spec.id)
+    }
+}
+
+/// The job's run times on each type of the catalogue that it may run on and of which there is a machine.
+fn run_times_by_type(
+    cluster: &ClusterState,
+    scheduling: &mut SchedulingState,
+    job: &JobState,
+    has_machine: &[bool],
+) -> Vec<Option<RunTimeEstimate>> {
+    let machine_types = cluster.catalog.machine_types.iter().zip(has_machine);
+    let run_times = machine_types.map(|(machine_type, has_machine)| {
+        if !*has_machine || !job.allows_machine_type(&machine_type.name) {
+            return None;
+        }
+        let estimates = &mut scheduling.estimates;
+        let histogram = estimates.run_time_histogram(&job.spec, &machine_type.name);
+        Some(RunTimeEstimate {
+            distribution: histogram.distribution().clone(),
+            cumulative: histogram.cumulative().clone(),
+            mean_s: histogram.mean_s(),
+        })
+    });
+    run_times.collect()
 }
--- a/crates/control/src/scheduling/estimates.rs
+++ b/crates/control/src/scheduling/estimates.rs
@@ -10,96 +10,128 @@
 pub struct RunTimeEstimates {
     /// Run times by job and machine type.
     run_times: HashMap<String, HashMap<String, RunTimeHistogram>>,
-    /// Runs per job: how many and their sum in s, over all types.
-    observed_runs: HashMap<String, (u32, f64)>,
-    /// Per class: how many jobs ended, and the sum of the logarithms of run over estimate.
-    estimate_ratios: HashMap<String, (f64, f64)>,
+    /// Observed runs by job, over all machine types.
+    observed_runs: HashMap<String, ObservedRuns>,
+    /// How far the owners' estimates are off, by class.
+    estimate_ratios: HashMap<String, EstimateRatios>,
+}
+
+/// The observed runs of one job.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ObservedRuns {
+    /// How many.
+    pub count: u32,
+    /// Their run times added up, s.
+    pub total_s: f64,
+}
+
+impl ObservedRuns {
+    /// Their mean run time in seconds, 0 without any.
+    pub fn mean_s(&self) -> f64 {
+        self.total_s / f64::from(self.count.max(1))
+    }
+}
+
+/// The ratios of run time to estimate of the jobs of a class that ended.
+#[derive(Clone, Copy, Debug, Default)]
+struct EstimateRatios {
+    job_count: f64,
+    log_sum: f64,
 }
 
 impl RunTimeEstimates {
     /// The run times of a job on a machine type.
-    pub fn run_time_histogram(&mut self, spec: &JobSpec, kind: &str) -> &mut RunTimeHistogram {
-        let known = self
-            .run_times
-            .get(&spec.id)
-            .is_some_and(|t| t.contains_key(kind));
-        if !known {
-            let scale = self.estimate_scale(&spec.class);
-            let mut runs = RunTimeHistogram::from_estimate(spec.estimated_run_time_s, scale);
-            // What an earlier leader saw counts as much as a few runs of our own.
-            let seen = self.observed_runs.get(&spec.id).copied();
-            if let Some((n, sum)) = seen.filter(|s| s.0 > 0) {
-                for _ in 0..n.min(MAX_INHERITED_RUNS) {
-                    runs.record_run(sum / f64::from(n));
-                }
-            }
-            let per_type = self.run_times.entry(spec.id.clone()).or_default();
-            per_type.insert(kind.into(), runs);
+    pub fn run_time_histogram(
+        &mut self,
+        spec: &JobSpec,
+        machine_type: &str,
+    ) -> &mut RunTimeHistogram {
+        let by_type = self.run_times.get(&spec.id);
+        if !by_type.is_some_and(|by_type| by_type.contains_key(machine_type)) {
+            let histogram = self.initial_histogram(spec);
+            let by_type = self.run_times.entry(spec.id.clone()).or_default();
+            by_type.insert(machine_type.into(), histogram);
+        }
+        let by_type = self.run_times.get_mut(&spec.id).expect("just inserted");
+        by_type.get_mut(machine_type).expect("just inserted")
+    }
+
+    /// The owner's estimate, with the job's runs on all machine types. Those that an earlier leader
+    /// observed count as much as a few of our own.
+    fn initial_histogram(&self, spec: &JobSpec) -> RunTimeHistogram {
+        let scale = self.estimate_scale(&spec.class);
+        let mut histogram = RunTimeHistogram::from_estimate(spec.estimated_run_time_s, scale);
+        let observed = self.observed_runs(&spec.id);
+        for _ in 0..observed.count.min(MAX_INHERITED_RUNS) {
+            histogram.record_run(observed.mean_s());
         }
-        let per_type = self.run_times.get_mut(&spec.id).expect("just inserted");
-        per_type.get_mut(kind).expect("just inserted")
+        histogram
     }
 
-    /// A task of the job ran for so long on such a machine.
-    pub fn record_run(&mut self, spec: &JobSpec, kind: &str, run_s: f64) {
-        self.run_time_histogram(spec, kind).record_run(run_s);
-        let o = self.observed_runs.entry(spec.id.clone()).or_default();
-        o.0 += 1;
-        o.1 += run_s;
+    /// Records how long a task of the job ran on such a machine.
+    pub fn record_run(&mut self, spec: &JobSpec, machine_type: &str, run_s: f64) {
+        self.run_time_histogram(spec, machine_type)
+            .record_run(run_s);
+        let observed = self.observed_runs.entry(spec.id.clone()).or_default();
+        observed.count += 1;
+        observed.total_s += run_s;
     }
 
-    /// The job ended.
+    /// Forgets a job that ended.
     pub fn forget_job(&mut self, job: &str) {
         self.run_times.remove(job);
         self.observed_runs.remove(job);
     }
 
-    /// Runs observed of a job and their mean.
-    pub fn observed_runs(&self, job: &str) -> (u32, f64) {
-        let (n, sum) = self.observed_runs.get(job).copied().unwrap_or_default();
-        (n, sum / f64::from(n.max(1)))
+    /// The observed runs of a job.
+    pub fn observed_runs(&self, job: &str) -> ObservedRuns {
+        self.observed_runs.get(job).copied().unwrap_or_default()
     }
 
-    /// What an earlier leader had observed of a job. Without it the histograms would start
-    /// from estimates again, and wrong estimates drive drops and too small a fleet.
-    pub fn inherit_observed_runs(&mut self, job: &str, runs: u32, run_s: f64) {
-        if runs > 0 && run_s.is_finite() && run_s > 0.0 {
-            let sum = run_s * f64::from(runs);
-            self.observed_runs.insert(job.into(), (runs, sum));
+    /// Takes over what an earlier leader observed of a job. Without it the histograms would start
+    /// from the estimates again, and wrong estimates lead to drops and too small a fleet.
+    pub fn inherit_observed_runs(&mut self, job: &str, count: u32, mean_s: f64) {
+        if count > 0 && mean_s.is_finite() && mean_s > 0.0 {
+            let total_s = mean_s * f64::from(count);
+            self.observed_runs
+                .insert(job.into(), ObservedRuns { count, total_s });
         }
     }
 
-    /// What the job's runs tell of its class's estimates, to be stored.
+    /// What the job's runs tell about its class's estimates, to be stored.
     pub fn observed_run_times(&self, spec: &JobSpec) -> Option<ObservedRunTimes> {
-        let (n, mean) = self.observed_runs(&spec.id);
-        (n > 0 && spec.estimated_run_time_s > 0.0).then(|| ObservedRunTimes {
+        let observed = self.observed_runs(&spec.id);
+        (observed.count > 0 && spec.estimated_run_time_s > 0.0).then(|| ObservedRunTimes {
             class: spec.class.clone(),
-            run_to_estimate_ratio: mean / spec.estimated_run_time_s,
+            run_to_estimate_ratio: observed.mean_s() / spec.estimated_run_time_s,
         })
     }
 
     /// A job of the class ended: owners err alike on some days.
     pub fn record_estimate_ratio(&mut self, class: &str, ratio: f64) {
         if ratio.is_finite() && ratio > 0.0 {
-            let r = self.estimate_ratios.entry(class.into()).or_default();
-            r.0 += 1.0;
-            r.1 += ratio.ln();
+            let ratios = self.estimate_ratios.entry(class.into()).or_default();
+            ratios.job_count += 1.0;
+            ratios.log_sum += ratio.ln();
         }
     }
 
-    /// By how much the class's estimates are off, with a few jobs' worth of trust in them.
+    /// The factor by which the class's estimates are off, where the estimates themselves weigh as much
+    /// as a few jobs.
     pub fn estimate_scale(&self, class: &str) -> f64 {
-        let (n, sum) = self.estimate_ratios.get(class).copied().unwrap_or_default();
-        (sum / (n + ESTIMATE_PRIOR_JOBS)).exp()
+        let ratios = self.estimate_ratios.get(class).copied().unwrap_or_default();
+        (ratios.log_sum / (ratios.job_count + ESTIMATE_PRIOR_JOBS)).exp()
     }
 
-    /// The mean run time over the types seen so far, or the estimate.
+    /// The mean run time on the machine type with most observed runs, or the estimate.
     pub fn mean_run_s(&mut self, spec: &JobSpec) -> f64 {
-        let guess = spec.estimated_run_time_s * self.estimate_scale(&spec.class);
-        let Some(per_type) = self.run_times.get_mut(&spec.id) else {
-            return guess;
+        let estimate_s = spec.estimated_run_time_s * self.estimate_scale(&spec.class);
+        let Some(by_type) = self.run_times.get_mut(&spec.id) else {
+            return estimate_s;
         };
-        let best = per_type.values_mut().max_by_key(|r| r.observed_runs);
-        best.map_or(guess, RunTimeHistogram::mean_s)
+        let most_observed = by_type
+            .values_mut()
+            .max_by_key(|histogram| histogram.observed_runs);
+        most_observed.map_or(estimate_s, RunTimeHistogram::mean_s)
     }
 }
--- a/crates/control/src/scheduling/first_fit.rs
+++ b/crates/control/src/scheduling/first_fit.rs
@@ -1,19 +1,46 @@
-//! First fit: urgent work at once, and leftover room for work without a deadline, late or dropped.
-use super::preemption::Preemption;
-use super::state::PlacementRank;
-use super::state::SchedulingState;
-use crate::cluster::is_immediate;
-use crate::cluster::ClusterState;
-use crate::cluster::{JobState, Machine};
+//! First fit: urgent work at once, and leftover capacity for work without a deadline, late or dropped.
+use super::preemption::{Preemption, PreemptionClaims, PreemptionScope};
+use super::state::{PlacementRank, SchedulingState};
+use crate::cluster::{is_immediate, ClusterState, JobState, Machine};
 use crate::context::LeaderContext;
+use crate::resources::Resources;
+use std::cmp::Reverse;
 use stonegw_constants::URGENT_RESERVATION_WAIT_MS;
 use stonegw_wire::msg::JobSpec;
 
-/// What a task takes and where it may go, as far as that says whether there is room for it:
-/// jobs alike in this find room or none alike.
+/// Which jobs a round of first fit places.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FirstFitSelection {
+    /// Only what may not wait for the next full pass. It may also preempt.
+    Urgent,
+    /// All without a deadline, late or dropped, in leftover capacity.
+    Backfill,
+}
+
+impl FirstFitSelection {
+    fn includes(self, job: &JobState, wall_ms: u64) -> bool {
+        match self {
+            FirstFitSelection::Urgent => is_immediate(job) && job.is_urgent(),
+            FirstFitSelection::Backfill => {
+                is_immediate(job) || is_late(job, wall_ms) || !job.pruned_tasks.is_empty()
+            }
+        }
+    }
+}
+
+/// The order in which jobs are placed; the least goes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct FirstFitOrder {
+    rank: Reverse<PlacementRank>,
+    backlog: u32,
+    submitted_at_ms: u64,
+}
+
+/// What a task takes and where it may go, as far as that says whether there is capacity for it:
+/// capacity is found for all jobs with equal constraints or for none.
 #[derive(Clone, PartialEq)]
 struct PlacementConstraints {
-    resource_request: (f64, f64, f64),
+    resource_request: Resources,
     machine_types: Option<Vec<String>>,
     zone: Option<String>,
     allows_spot: bool,
@@ -21,63 +48,112 @@
 
 impl PlacementConstraints {
     /// `None`: more than this decides.
-    fn of_job(w: &JobState) -> Option<PlacementConstraints> {
-        let s = &w.spec;
-        (!s.requires_single_zone && !s.spreads_across_zones && !w.failures.avoids_any()).then(
-            || PlacementConstraints {
-                resource_request: (s.cpus, s.gpus, s.memory_gb),
-                machine_types: s.machine_types.clone(),
-                zone: s.zone.clone(),
-                allows_spot: s.allows_spot,
-            },
-        )
+    fn of_job(job: &JobState) -> Option<PlacementConstraints> {
+        let spec = &job.spec;
+        if spec.requires_single_zone || spec.spreads_across_zones || job.failures.avoids_any() {
+            return None;
+        }
+        Some(PlacementConstraints {
+            resource_request: Resources::of_task(spec),
+            machine_types: spec.machine_types.clone(),
+            zone: spec.zone.clone(),
+            allows_spot: spec.allows_spot,
+        })
     }
 }
 
-/// What a job counts for in the order of work of one rank: an array without a deadline comes after jobs
-/// with fewer tasks left. One of thousands would else keep every smaller one waiting until it is done.
-fn backlog_rank(work: &JobState) -> u32 {
-    if work.spec.deadline_s.is_some() || work.is_urgent() {
+/// Whether the job's deadline has passed.
+fn is_late(job: &JobState, wall_ms: u64) -> bool {
+    let due_s = job.seconds_to_deadline(wall_ms);
+    due_s.is_some_and(|due_s| due_s <= 0.0)
+}
+
+/// What a job counts for among jobs of equal rank: an array without a deadline comes after jobs
+/// with fewer tasks left. One of thousands would otherwise keep every smaller one waiting until it is done.
+fn backlog_size(job: &JobState) -> u32 {
+    if job.spec.deadline_s.is_some() || job.is_urgent() {
         0
     } else {
-        work.spec.task_count - work.done_count
+        job.spec.task_count - job.done_count
     }
 }
 
-/// Machines that take tasks of one shape and image, the best first fit last.
+/// Machines that take tasks with these constraints and image, the best by first fit last.
 struct CandidatePool {
     constraints: PlacementConstraints,
     image: String,
     machines: Vec<String>,
 }
 
-/// One pool for all jobs alike, put together once in a round of placing: to look at every machine for every
+/// One pool for all jobs alike, put together once in a round: to look at every machine for every
 /// job would cost the square of the fleet.
 #[derive(Default)]
 struct CandidatePools(Vec<CandidatePool>);
 
 impl CandidatePools {
-    /// The pool for the job's tasks; `find` puts it together. `None`: more than shape and image decides.
+    /// The pool for the job's tasks; `find_machines` fills it. `None`: more than constraints and image
+    /// decides.
     fn get_or_build(
         &mut self,
-        work: &JobState,
-        find: impl FnOnce() -> Vec<String>,
+        job: &JobState,
+        find_machines: impl FnOnce() -> Vec<String>,
     ) -> Option<&mut CandidatePool> {
-        let shape = PlacementConstraints::of_job(work)?;
-        let image = &work.spec.image;
-        let known = |pool: &CandidatePool| pool.constraints == shape && pool.image == *image;
-        let at = match self.0.iter().position(known) {
-            Some(at) => at,
+        let constraints = PlacementConstraints::of_job(job)?;
+        let image = &job.spec.image;
+        let position = self
+            .0
+            .iter()
+            .position(|pool| pool.constraints == constraints && pool.image == *image);
+        let position = match position {
+            Some(position) => position,
             None => {
                 self.0.push(CandidatePool {
                     image: image.clone(),
-                    machines: find(),
-                    constraints: shape,
+                    machines: find_machines(),
+                    constraints,
                 });
                 self.0.len() - 1
             }
         };
-        self.0.get_mut(at)
+        self.0.get_mut(position)
+    }
+}
+
+/// What one round of first fit works with.
+struct FirstFitRound {
+    selection: FirstFitSelection,
+    /// Machines that had free capacity when the round began.
+    machines: Vec<String>,
+    pools: CandidatePools,
+    /// Capacity that is being cleared for some of the jobs already.
+    claims: PreemptionClaims,
+    /// Constraints for which no capacity was found.
+    without_capacity: Vec<PlacementConstraints>,
+    /// Constraints for which nothing suitable can be preempted.
+    without_victims: Vec<PlacementConstraints>,
+}
+
+/// Which machines a job's task may take in a round.
+struct MachineFilter<'a> {
+    job: &'a JobState,
+    selection: FirstFitSelection,
+    /// Urgent jobs take what is reserved for others.
+    ignores_reservations: bool,
+    /// But what is reserved for gangs only later: it takes long to gather, so lower work elsewhere is
+    /// preempted first.
+    spares_gangs: bool,
+}
+
+impl<'a> MachineFilter<'a> {
+    fn new(context: &LeaderContext, job: &'a JobState, selection: FirstFitSelection) -> Self {
+        let age_ms = context.now.wall_ms.saturating_sub(job.submitted_at_ms);
+        let ignores_reservations = selection == FirstFitSelection::Urgent || job.is_urgent();
+        MachineFilter {
+            job,
+            selection,
+            ignores_reservations,
+            spares_gangs: ignores_reservations && age_ms < URGENT_RESERVATION_WAIT_MS,
+        }
     }
 }
 
@@ -88,6 +164,7 @@
 }
 
 impl<'a> FirstFit<'a> {
+    /// Works on this cluster, with what the scheduler's parts share.
     pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
         FirstFit {
             cluster,
@@ -97,229 +174,239 @@
 }
 
 impl FirstFit<'_> {
-    /// Machines that take a task, the best first fit last.
-    fn machines_by_first_fit(
-        &self,
-        roomy: &[String],
-        spec: &JobSpec,
-        takes: impl Fn(&Machine) -> bool,
-    ) -> Vec<String> {
-        let machines = roomy.iter().filter_map(|id| self.cluster.machines.get(id));
-        let fitting = machines.filter(|m| takes(m));
-        let mut keyed: Vec<_> = fitting
-            .map(|m| (self.cluster.first_fit_key(m, spec), m.id.clone()))
-            .collect();
-        keyed.sort_by(|a, b| b.cmp(a));
-        keyed.into_iter().map(|(_, id)| id).collect()
-    }
-
-    /// Starts held tasks for which room has become free.
+    /// Starts tasks queued on a machine for which capacity has become free.
     pub fn dispatch_queued(&mut self, context: &LeaderContext, id: &str) {
         loop {
-            let Some(m) = self.cluster.machines.get(id) else {
+            let Some(machine) = self.cluster.machines.get(id) else {
                 return;
             };
-            let Some((job, index)) = m.queued.first().cloned() else {
+            let Some((job_id, index)) = machine.queued.first().cloned() else {
                 return;
             };
-            let start = match self.cluster.jobs.get(&job) {
-                Some(w) => {
-                    if !self.cluster.has_capacity(m, &w.spec)
-                        || !self.cluster.is_eligible(context, m, w)
-                        || !self.cluster.within_limit(context, &w.spec, (0.0, 0.0))
-                        || self.scheduling.reservations.is_reserved_for_other(
-                            &self.cluster.jobs,
-                            id,
-                            &job,
-                        )
-                        || self
-                            .scheduling
-                            .reservations
-                            .is_team_reserved_for_other(&w.spec)
-                        || self
-                            .scheduling
-                            .reservations
-                            .is_being_cleared(context.now.monotonic_ms, id)
-                    {
-                        return;
-                    }
-                    true
-                }
-                None => false,
-            };
-            if let Some(mut m) = self.cluster.machines.edit(id) {
-                m.queued.remove(0);
+            let job = self.cluster.jobs.get(&job_id);
+            if job.is_some_and(|job| !self.may_dispatch(context, machine, job)) {
+                return;
+            }
+            let is_known = job.is_some();
+            if let Some(mut machine) = self.cluster.machines.edit(id) {
+                machine.queued.remove(0);
             }
-            if start && !self.cluster.place_task(id, &job, index) {
-                self.cluster.requeue_task(&job, index);
+            if is_known && !self.cluster.place_task(id, &job_id, index) {
+                self.cluster.requeue_task(&job_id, index);
                 return;
             }
         }
     }
 
-    /// First fit for work without a deadline, late or dropped. `urgent`: only what may not wait
-    /// for the next mapping; it may also push lesser work aside.
-    pub(super) fn place_first_fit(&mut self, context: &LeaderContext, urgent: bool) {
+    /// Whether a queued task of the job may start on the machine now.
+    fn may_dispatch(&self, context: &LeaderContext, machine: &Machine, job: &JobState) -> bool {
+        let spec = &job.spec;
+        let reservations = &self.scheduling.reservations;
+        self.cluster.has_capacity(machine, spec)
+            && self.cluster.is_eligible(context, machine, job)
+            && self.cluster.within_limit(context, spec)
+            && !reservations.is_reserved_for_other(&self.cluster.jobs, &machine.id, &spec.id)
+            && !reservations.is_team_reserved_for_other(spec)
+            && !reservations.is_being_cleared(context.now.monotonic_ms, &machine.id)
+    }
+
+    /// Places the selected jobs first fit, in order. Urgent ones also preempt.
+    pub(super) fn place_first_fit(
+        &mut self,
+        context: &LeaderContext,
+        selection: FirstFitSelection,
+    ) {
+        let jobs = self.jobs_in_order(context, selection);
+        if jobs.is_empty() {
+            return;
+        }
         let now = context.now.monotonic_ms;
-        let mut order: Vec<(PlacementRank, u32, u64, String)> = self
-            .cluster
-            .jobs
-            .iter()
-            .filter(|(_, w)| {
-                !w.pending_tasks.is_empty() && !w.end_write_in_flight && now >= w.retry_at
-            })
-            .filter(|(_, w)| {
-                if urgent {
-                    is_immediate(w) && w.is_urgent()
-                } else {
-                    is_immediate(w)
-                        || w.seconds_to_deadline(context.now.wall_ms)
-                            .is_some_and(|d| d <= 0.0)
-                        || !w.pruned_tasks.is_empty()
-                }
-            })
-            .map(|(id, w)| {
-                let rank = (
-                    w.spec.priority,
-                    self.cluster.within_quota(context, &w.spec, (0.0, 0.0)),
-                );
-                (rank, backlog_rank(w), w.submitted_at_ms, id.clone())
-            })
-            .collect();
-        order.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
-        if order.is_empty() {
+        let machines = self.cluster.machines_with_capacity(context);
+        let mut preemption = Preemption::new(self.cluster, self.scheduling);
+        let mut round = FirstFitRound {
+            selection,
+            machines,
+            pools: CandidatePools::default(),
+            claims: preemption.refresh_preemption_claims(now),
+            without_capacity: vec![],
+            without_victims: vec![],
+        };
+        for job in jobs {
+            self.place_or_preempt(context, &job, &mut round);
+        }
+    }
+
+    /// The selected jobs with waiting tasks, those to be placed first in front.
+    fn jobs_in_order(&self, context: &LeaderContext, selection: FirstFitSelection) -> Vec<String> {
+        let now = context.now;
+        let is_selected = |job: &JobState| {
+            !job.pending_tasks.is_empty()
+                && !job.end_write_in_flight
+                && now.monotonic_ms >= job.retry_at
+                && selection.includes(job, now.wall_ms)
+        };
+        let order = |job: &JobState| FirstFitOrder {
+            rank: Reverse(PlacementRank {
+                priority: job.spec.priority,
+                is_within_quota: self.cluster.within_quota(context, &job.spec),
+            }),
+            backlog: backlog_size(job),
+            submitted_at_ms: job.submitted_at_ms,
+        };
+        let selected = self.cluster.jobs.iter().filter(|(_, job)| is_selected(job));
+        let mut ordered: Vec<(FirstFitOrder, &String)> =
+            selected.map(|(id, job)| (order(job), id)).collect();
+        ordered.sort_by_key(|(order, _)| *order);
+        ordered.into_iter().map(|(_, id)| id.clone()).collect()
+    }
+
+    /// Places tasks of a job. Where there is no capacity for the next one, an urgent job preempts.
+    fn place_or_preempt(
+        &mut self,
+        context: &LeaderContext,
+        job_id: &str,
+        round: &mut FirstFitRound,
+    ) {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
+            return;
+        };
+        let constraints = PlacementConstraints::of_job(job);
+        let is_in = |known: &[PlacementConstraints]| {
+            let constraints = constraints.as_ref();
+            constraints.is_some_and(|constraints| known.contains(constraints))
+        };
+        if !is_in(&round.without_capacity) && self.place_job_first_fit(context, job_id, round) {
             return;
         }
-        let roomy = self.cluster.machines_with_capacity(context);
-        let mut pools = CandidatePools::default();
-        // Room that is being made for some of them already.
-        let mut claims =
-            Preemption::new(self.cluster, self.scheduling).refresh_preemption_claims(now);
-        let mut none: Vec<PlacementConstraints> = vec![];
-        let mut hopeless: Vec<PlacementConstraints> = vec![];
-        for (_, _, _, job) in order {
-            let Some(shape) = self
-                .cluster
-                .jobs
-                .get(&job)
-                .map(PlacementConstraints::of_job)
-            else {
-                continue;
-            };
-            let full = shape.as_ref().is_some_and(|s| none.contains(s));
-            if !full && self.place_job_first_fit(context, &job, urgent, &roomy, &mut pools) {
-                continue;
-            }
-            let Some(w) = self.cluster.jobs.get(&job) else {
-                continue;
-            };
-            let making = self
-                .scheduling
-                .reservations
-                .preemption_plans
-                .iter()
-                .any(|m| m.job == job);
-            let hopeless_now = shape.as_ref().is_some_and(|s| hopeless.contains(s));
-            if urgent
-                && !w.failures.job_is_broken()
-                && !making
-                && !hopeless_now
-                && self.cluster.within_limit(context, &w.spec, (0.0, 0.0))
-                && !Preemption::new(self.cluster, self.scheduling).preempt(
-                    context,
-                    &job,
-                    &mut claims,
-                    false,
-                )
-            {
-                hopeless.extend(shape.clone());
+        if round.selection == FirstFitSelection::Urgent
+            && !is_in(&round.without_victims)
+            && self.may_preempt(context, job_id)
+        {
+            let mut preemption = Preemption::new(self.cluster, self.scheduling);
+            let scope = PreemptionScope::LowerPriority;
+            if !preemption.preempt(context, job_id, &mut round.claims, scope) {
+                round.without_victims.extend(constraints.clone());
             }
-            none.extend(shape);
         }
+        round.without_capacity.extend(constraints);
+    }
+
+    fn may_preempt(&self, context: &LeaderContext, job_id: &str) -> bool {
+        let reservations = &self.scheduling.reservations;
+        self.cluster.jobs.get(job_id).is_some_and(|job| {
+            !job.failures.job_is_broken()
+                && !reservations.has_preemption_plan(job_id)
+                && self.cluster.within_limit(context, &job.spec)
+        })
     }
 
-    /// Places tasks of a job first fit. False: there is no room for the next one.
+    /// Places tasks of a job first fit. False: there is no capacity for the next one.
     fn place_job_first_fit(
         &mut self,
         context: &LeaderContext,
         job: &str,
-        urgent: bool,
-        roomy: &[String],
-        pools: &mut CandidatePools,
+        round: &mut FirstFitRound,
     ) -> bool {
-        let mut target: Option<String> = None;
-        loop {
-            let Some(w) = self.cluster.jobs.get(job) else {
-                return true;
-            };
-            if w.start_limit(context.now.monotonic_ms) == 0 {
-                return true;
-            }
-            let late = w
-                .seconds_to_deadline(context.now.wall_ms)
-                .is_some_and(|d| d <= 0.0);
-            let index = if is_immediate(w) || late {
-                w.pending_tasks.first().copied()
-            } else {
-                w.next_pruned()
-            };
-            let Some(index) = index else { return true };
-            let spec = &w.spec;
-            if !self.cluster.within_limit(context, spec, (0.0, 0.0))
-                || !urgent
-                    && self
-                        .scheduling
-                        .reservations
-                        .is_team_reserved_for_other(spec)
-            {
-                return true;
-            }
-            // Urgent work first pushes lesser work aside elsewhere: a gang's room takes long to gather.
-            let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
-            let takes_kept = urgent || w.is_urgent();
-            let spares_gangs = takes_kept && age < URGENT_RESERVATION_WAIT_MS;
-            let takes = |m: &Machine| {
-                (m.queued.is_empty() || urgent)
-                    && self.cluster.has_capacity(m, spec)
-                    && self.cluster.is_eligible(context, m, w)
-                    && (takes_kept
-                        || !self.scheduling.reservations.is_reserved_for_other(
-                            &self.cluster.jobs,
-                            &m.id,
-                            job,
-                        ))
-                    && (urgent
-                        || !self
-                            .scheduling
-                            .reservations
-                            .is_being_cleared(context.now.monotonic_ms, &m.id))
-                    && !(spares_gangs
-                        && self.scheduling.reservations.is_gang_reserved_for_other(
-                            &self.cluster.jobs,
-                            &m.id,
-                            job,
-                        ))
+        let mut last_machine = None;
+        while let Some(index) = self.next_task(context, job, round.selection) {
+            let machine = self.choose_machine(context, job, last_machine, round);
+            let Some(machine) = machine else {
+                return false;
             };
-            // Once one of its tasks is there, a machine is the best for the next as well.
-            let same = target
-                .take()
-                .filter(|id| self.cluster.machines.get(id).is_some_and(takes));
-            let find = || self.machines_by_first_fit(roomy, spec, takes);
-            target = same.or_else(|| match pools.get_or_build(w, find) {
-                Some(pool) => {
-                    let full = |id: &String| !self.cluster.machines.get(id).is_some_and(takes);
-                    while pool.machines.last().is_some_and(full) {
-                        pool.machines.pop();
-                    }
-                    pool.machines.last().cloned()
-                }
-                None => find().pop(),
-            });
-            let Some(id) = &target else { return false };
-            let id = id.clone();
-            if !self.cluster.place_task(&id, job, index) {
+            if !self.cluster.place_task(&machine, job, index) {
                 return false;
             }
+            last_machine = Some(machine);
         }
+        true
+    }
+
+    /// The job's next task for first fit. `None`: none is left that may start now.
+    fn next_task(
+        &self,
+        context: &LeaderContext,
+        job: &str,
+        selection: FirstFitSelection,
+    ) -> Option<u32> {
+        let job = self.cluster.jobs.get(job)?;
+        if job.start_limit(context.now.monotonic_ms) == 0 {
+            return None;
+        }
+        let index = if is_immediate(job) || is_late(job, context.now.wall_ms) {
+            job.pending_tasks.first().copied()
+        } else {
+            job.next_pruned()
+        };
+        let reservations = &self.scheduling.reservations;
+        let is_team_reserved = || {
+            selection != FirstFitSelection::Urgent
+                && reservations.is_team_reserved_for_other(&job.spec)
+        };
+        if !self.cluster.within_limit(context, &job.spec) || is_team_reserved() {
+            return None;
+        }
+        index
+    }
+
+    /// The best machine for a task of the job. Once one of its tasks is there, a machine is the best for the
+    /// next as well.
+    fn choose_machine(
+        &self,
+        context: &LeaderContext,
+        job: &str,
+        last_machine: Option<String>,
+        round: &mut FirstFitRound,
+    ) -> Option<String> {
+        let job = self.cluster.jobs.get(job)?;
+        let filter = MachineFilter::new(context, job, round.selection);
+        let accepts = |machine: &Machine| self.accepts(context, &filter, machine);
+        let accepts_id = |id: &String| self.cluster.machines.get(id).is_some_and(accepts);
+        let same_machine = last_machine.filter(accepts_id);
+        if same_machine.is_some() {
+            return same_machine;
+        }
+        let machines = &round.machines;
+        let find_machines = || self.machines_by_first_fit(machines, &job.spec, accepts);
+        let Some(pool) = round.pools.get_or_build(job, find_machines) else {
+            return find_machines().pop();
+        };
+        while pool.machines.last().is_some_and(|id| !accepts_id(id)) {
+            pool.machines.pop();
+        }
+        pool.machines.last().cloned()
+    }
+
+    fn accepts(&self, context: &LeaderContext, filter: &MachineFilter, machine: &Machine) -> bool {
+        let job = filter.job;
+        let job_id = &job.spec.id;
+        let jobs = &self.cluster.jobs;
+        let reservations = &self.scheduling.reservations;
+        let is_urgent_round = filter.selection == FirstFitSelection::Urgent;
+        (machine.queued.is_empty() || is_urgent_round)
+            && self.cluster.has_capacity(machine, &job.spec)
+            && self.cluster.is_eligible(context, machine, job)
+            && (filter.ignores_reservations
+                || !reservations.is_reserved_for_other(jobs, &machine.id, job_id))
+            && (is_urgent_round
+                || !reservations.is_being_cleared(context.now.monotonic_ms, &machine.id))
+            && !(filter.spares_gangs
+                && reservations.is_gang_reserved_for_other(jobs, &machine.id, job_id))
+    }
+
+    /// Machines that take a task, the best by first fit last.
+    fn machines_by_first_fit(
+        &self,
+        machines: &[String],
+        spec: &JobSpec,
+        accepts: impl Fn(&Machine) -> bool,
+    ) -> Vec<String> {
+        let mut accepting: Vec<_> = machines
+            .iter()
+            .filter_map(|id| self.cluster.machines.get(id))
+            .filter(|machine| accepts(machine))
+            .map(|machine| (self.cluster.first_fit_key(machine, spec), &machine.id))
+            .collect();
+        accepting.sort_by(|a, b| b.cmp(a));
+        accepting.into_iter().map(|(_, id)| id.clone()).collect()
     }
 }
--- a/crates/control/src/scheduling/gang_placement.rs
+++ b/crates/control/src/scheduling/gang_placement.rs
@@ -1,66 +1,77 @@
 //! Choosing machines for a gang, and placing it whole.
 use super::state::SchedulingState;
 use crate::api::Now;
-use crate::cluster::ClusterState;
-use crate::cluster::GangState;
-use crate::cluster::{JobState, Machine};
+use crate::cluster::{ClusterState, GangState, JobState, Machine};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
-use std::cmp::Reverse;
+use std::cmp::{Ordering, Reverse};
 use std::collections::BTreeMap;
 use stonegw_constants::{DEFERRED_PLACEMENT_MS, DEFERRED_PLACEMENT_QUEUED_MS};
 use stonegw_sched::pruner::{OverloadToggle, Pruner};
 
-/// So many tasks of a gang on one machine.
+/// How many tasks of a gang one machine gets.
 #[derive(Clone, Debug, PartialEq)]
 struct MachineAllocation {
     machine: String,
     tasks: u32,
 }
 
-/// Machines for a whole gang, and how good a choice they are; less is better.
-struct GangPlacement {
-    allocations: Vec<MachineAllocation>,
-    /// Some of it is reserved for gangs of lower priority.
+/// How good a choice of machines is; less is better, the first difference counts.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+struct GangPlacementCost {
+    /// Some machine is reserved for a gang of lower priority.
     uses_reserved: bool,
-    /// s until the last task has its image, in whole seconds.
+    /// Time until the last task has its image, in whole seconds.
     image_fetch_s: i64,
+    machine_count: usize,
     total_price: f64,
 }
 
-impl GangPlacement {
-    fn is_better_than(&self, other: &GangPlacement) -> bool {
-        let key = |p: &GangPlacement| (p.uses_reserved, p.image_fetch_s, p.allocations.len());
-        (key(self), self.total_price) < (key(other), other.total_price)
-    }
+/// Machines for a whole gang.
+struct GangPlacement {
+    allocations: Vec<MachineAllocation>,
+    cost: GangPlacementCost,
 }
 
-/// A machine with room for some tasks of a gang.
+/// A machine with capacity for some tasks of a gang.
 struct GangCandidate {
     machine: String,
     zone: String,
     /// For a gang of lower priority.
     is_reserved: bool,
+    /// How many of the gang's tasks fit.
     slots: u32,
     image_fetch_s: i64,
     price_per_cpu: f64,
 }
 
-/// The design's class of a waiting gang.
+impl GangCandidate {
+    /// The order in which machines are used for a gang of so many tasks.
+    fn order(&self, other: &GangCandidate, task_count: u32) -> Ordering {
+        let useful_slots = |candidate: &GangCandidate| Reverse(candidate.slots.min(task_count));
+        self.is_reserved
+            .cmp(&other.is_reserved)
+            .then(self.image_fetch_s.cmp(&other.image_fetch_s))
+            .then(useful_slots(self).cmp(&useful_slots(other)))
+            .then(self.price_per_cpu.total_cmp(&other.price_per_cpu))
+    }
+}
+
+/// The class of the design that a waiting gang falls into.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum PlacementPolicy {
-    /// No deadline, late, dropped, or without a start for long: leftover room will do.
+    /// No deadline, late, dropped, or without a start for long: it is placed in leftover capacity.
     FirstFit,
-    /// Its chance decides, in the mapping.
+    /// Its on-time probability decides.
     DeadlineConstrained { due_s: f64 },
 }
 
 /// Which rule of the design places a waiting gang.
 pub(super) fn placement_policy(job: &JobState, now: Now) -> PlacementPolicy {
     let is_dropped = job.gang.as_ref().is_some_and(|gang| gang.is_dropped);
-    let waited_long = job.gang_waited_ms(now) >= DEFERRED_PLACEMENT_MS;
+    let has_waited_long = job.gang_waited_ms(now) >= DEFERRED_PLACEMENT_MS;
     match job.seconds_to_deadline(now.wall_ms) {
-        Some(due_s) if due_s > 0.0 && !is_dropped && !waited_long => {
+        Some(due_s) if due_s > 0.0 && !is_dropped && !has_waited_long => {
             PlacementPolicy::DeadlineConstrained { due_s }
         }
         _ => PlacementPolicy::FirstFit,
@@ -74,6 +85,7 @@
 }
 
 impl<'a> GangPlacer<'a> {
+    /// Works on this cluster, with what the scheduler's parts share.
     pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
         GangPlacer {
             cluster,
@@ -83,83 +95,82 @@
 }
 
 impl GangPlacer<'_> {
-    /// Gangs with a deadline ahead, in the mapping: placed whole where their weakest task's chance
-    /// reaches the deferring threshold, dropped whole below the drop threshold while the toggle is
-    /// on. A gang is never queued on machines, so its place in a queue is the first.
+    /// Gangs with a deadline ahead: placed whole where the on-time probability of their weakest task reaches
+    /// the deferring threshold, dropped whole below the drop threshold while the toggle is on. A gang is
+    /// never queued on machines, so its position in a queue is the first.
     pub fn place_deadline_gangs(&mut self, context: &LeaderContext) {
         let waiting = self.cluster.waiting_gangs(context);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.cluster.machines_with_capacity(context);
+        let machines = self.cluster.machines_with_capacity(context);
         for job in waiting {
-            let Some(work) = self.cluster.jobs.get(&job) else {
-                continue;
-            };
-            let PlacementPolicy::DeadlineConstrained { due_s } =
-                placement_policy(work, context.now)
-            else {
-                continue;
-            };
-            let Some(plan) = self.plan_gang(context, &job, &roomy) else {
-                continue;
-            };
-            let chance = self.lowest_on_time_probability(&job, &plan, due_s);
-            if chance >= self.scheduling.pruner.deferring_threshold {
-                self.place_planned_gang(context, &job, plan);
-            } else if self.scheduling.pruner.overload_toggle == OverloadToggle::On {
-                self.drop_gang_below_threshold(&job, &plan, chance);
-            }
+            self.place_deadline_gang(context, &job, &machines);
+        }
+    }
+
+    fn place_deadline_gang(&mut self, context: &LeaderContext, job_id: &str, machines: &[String]) {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
+            return;
+        };
+        let policy = placement_policy(job, context.now);
+        let PlacementPolicy::DeadlineConstrained { due_s } = policy else {
+            return;
+        };
+        let Some(plan) = self.plan_gang(context, job_id, machines) else {
+            return;
+        };
+        let probability = self.lowest_on_time_probability(job_id, &plan, due_s);
+        if probability >= self.scheduling.pruner.deferring_threshold {
+            self.place_planned_gang(context, job_id, plan);
+        } else if self.scheduling.pruner.overload_toggle == OverloadToggle::On {
+            self.drop_gang_below_threshold(job_id, &plan, probability);
         }
     }
 
-    /// The chance of the task that ends last: all run at the pace of the slowest machine, from when
-    /// the last has its image.
+    /// The on-time probability of the task that ends last: all run at the pace of the slowest machine, from
+    /// when the last has its image.
     fn lowest_on_time_probability(&mut self, job: &str, plan: &GangPlacement, due_s: f64) -> f64 {
-        let Some(spec) = self.cluster.jobs.get(job).map(|w| w.spec.clone()) else {
+        let Some(spec) = self.cluster.jobs.get(job).map(|job| job.spec.clone()) else {
             return 0.0;
         };
-        let mut weakest = 1.0_f64;
+        let image_fetch_s = plan.cost.image_fetch_s as f64;
+        let mut lowest = 1.0_f64;
         for machine_type in self.machine_types_of(plan) {
-            let runs = self
-                .scheduling
-                .estimates
-                .run_time_histogram(&spec, &machine_type);
-            weakest = weakest.min(
-                runs.cumulative()
-                    .on_time_probability_after(plan.image_fetch_s as f64, due_s),
-            );
+            let estimates = &mut self.scheduling.estimates;
+            let run_times = estimates.run_time_histogram(&spec, &machine_type);
+            let cumulative = run_times.cumulative();
+            lowest = lowest.min(cumulative.on_time_probability_after(image_fetch_s, due_s));
         }
-        weakest
+        lowest
     }
 
-    fn drop_gang_below_threshold(&mut self, job: &str, plan: &GangPlacement, chance: f64) {
-        let Some(work) = self.cluster.jobs.get_mut(job) else {
+    fn drop_gang_below_threshold(&mut self, job_id: &str, plan: &GangPlacement, probability: f64) {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
             return;
         };
-        let spec = work.spec.clone();
         let Some(machine_type) = self.machine_types_of(plan).into_iter().next() else {
             return;
         };
-        let skewness = self
-            .scheduling
-            .estimates
-            .run_time_histogram(&spec, &machine_type)
-            .distribution()
-            .skewness();
-        if chance >= Pruner::drop_threshold(skewness, 1) {
+        let estimates = &mut self.scheduling.estimates;
+        let run_times = estimates.run_time_histogram(&job.spec, &machine_type);
+        let skewness = run_times.distribution().skewness();
+        if probability >= Pruner::drop_threshold(skewness, 1) {
             return;
         }
-        log::info!("gang {job} is dropped: chance {chance:.2}");
-        if let Some(gang) = self.cluster.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
+        log::info!("gang {job_id} is dropped: on-time probability {probability:.2}");
+        let job = self.cluster.jobs.get_mut(job_id);
+        if let Some(gang) = job.and_then(|job| job.gang.as_mut()) {
             gang.is_dropped = true;
         }
     }
 
     fn machine_types_of(&self, plan: &GangPlacement) -> Vec<String> {
-        let machines = plan.allocations.iter();
-        let machines = machines.filter_map(|s| self.cluster.machines.get(&s.machine));
-        let mut types: Vec<String> = machines.map(|m| m.machine_type.clone()).collect();
+        let allocations = plan.allocations.iter();
+        let mut types: Vec<String> = allocations
+            .filter_map(|allocation| self.cluster.machines.get(&allocation.machine))
+            .map(|machine| machine.machine_type.clone())
+            .collect();
         types.sort();
         types.dedup();
         types
@@ -170,208 +181,217 @@
         &mut self,
         context: &LeaderContext,
         job: &str,
-        roomy: &[String],
+        machines: &[String],
     ) -> bool {
-        match self.plan_gang(context, job, roomy) {
+        match self.plan_gang(context, job, machines) {
             Some(plan) => self.place_planned_gang(context, job, plan),
             None => false,
         }
     }
 
-    /// Machines for the whole gang out of these: in one zone if any will do, else spread over
+    /// Machines for the whole gang out of these: in one zone if any suffices, else spread over
     /// several where its job allows that.
     fn plan_gang(
         &self,
         context: &LeaderContext,
-        job: &str,
-        roomy: &[String],
+        job_id: &str,
+        machines: &[String],
     ) -> Option<GangPlacement> {
-        let work = self.cluster.jobs.get(job)?;
-        if !self.cluster.gang_within_limit(context, work)
-            || !work.is_urgent()
-                && self
-                    .scheduling
-                    .reservations
-                    .is_team_reserved_for_other(&work.spec)
-        {
+        let job = self.cluster.jobs.get(job_id)?;
+        let reservations = &self.scheduling.reservations;
+        let is_team_reserved =
+            || !job.is_urgent() && reservations.is_team_reserved_for_other(&job.spec);
+        if !self.cluster.gang_within_limit(context, job) || is_team_reserved() {
             return None;
         }
-        let machines = roomy.iter().filter_map(|id| self.cluster.machines.get(id));
+        let task_count = job.spec.task_count;
+        let machines = machines.iter();
         let mut candidates: Vec<GangCandidate> = machines
-            .filter_map(|m| self.gang_candidate(context, m, work))
+            .filter_map(|id| self.cluster.machines.get(id))
+            .filter_map(|machine| self.gang_candidate(context, machine, job))
             .collect();
-        candidates.sort_by(|a, b| {
-            let slots = |c: &GangCandidate| Reverse(c.slots.min(work.spec.task_count));
-            let key = |c: &GangCandidate| (c.is_reserved, c.image_fetch_s, slots(c));
-            key(a)
-                .cmp(&key(b))
-                .then(a.price_per_cpu.total_cmp(&b.price_per_cpu))
-        });
-        let tasks = work.spec.task_count;
-        let zone_limit = if work.spec.spreads_across_zones {
-            tasks.div_ceil(2)
+        candidates.sort_by(|a, b| a.order(b, task_count));
+        let max_tasks_per_zone = if job.spec.spreads_across_zones {
+            task_count.div_ceil(2)
         } else {
-            tasks
+            task_count
         };
-        let mut zones: Vec<&str> = candidates.iter().map(|c| c.zone.as_str()).collect();
-        zones.sort_unstable();
-        zones.dedup();
-        let mut best: Option<GangPlacement> = None;
-        for zone in zones {
-            let in_zone = candidates.iter().filter(|c| c.zone == zone);
-            if let Some(plan) = allocate_tasks(in_zone, tasks, zone_limit) {
-                if best.as_ref().is_none_or(|b| plan.is_better_than(b)) {
-                    best = Some(plan);
-                }
-            }
-        }
-        if best.is_none() && !work.spec.requires_single_zone {
-            best = allocate_tasks(candidates.iter(), tasks, zone_limit);
+        let in_one_zone = allocate_in_one_zone(&candidates, task_count, max_tasks_per_zone);
+        if in_one_zone.is_some() || job.spec.requires_single_zone {
+            return in_one_zone;
         }
-        best
+        allocate_tasks(candidates.iter(), task_count, max_tasks_per_zone)
     }
 
-    /// What a machine with room offers to the gang. Room that is kept or made for others, or that
-    /// queued tasks wait for, is none.
+    /// What a machine with capacity offers to the gang. Capacity that is reserved or being cleared for
+    /// others, or that queued tasks wait for, does not count.
     fn gang_candidate(
         &self,
         context: &LeaderContext,
-        m: &Machine,
-        work: &JobState,
+        machine: &Machine,
+        job: &JobState,
     ) -> Option<GangCandidate> {
-        let spec = &work.spec;
-        let machine_type = self.cluster.machine_type(&m.machine_type)?;
-        let slots = self
-            .cluster
-            .free_resources(m)?
-            .count_fitting(&Resources::of_task(spec));
-        let queue_first = !m.queued.is_empty()
-            && !work.is_urgent()
-            && work.gang_waited_ms(context.now) < DEFERRED_PLACEMENT_QUEUED_MS;
-        if slots == 0 || queue_first || !self.cluster.is_eligible(context, m, work) {
+        let spec = &job.spec;
+        let now = context.now.monotonic_ms;
+        let reservations = &self.scheduling.reservations;
+        let machine_type = self.cluster.machine_type(&machine.machine_type)?;
+        let free = self.cluster.free_resources(machine)?;
+        let slots = free.count_fitting(&Resources::of_task(spec));
+        let queue_goes_first = !machine.queued.is_empty()
+            && !job.is_urgent()
+            && job.gang_waited_ms(context.now) < DEFERRED_PLACEMENT_QUEUED_MS;
+        if slots == 0
+            || queue_goes_first
+            || !self.cluster.is_eligible(context, machine, job)
+            || self.is_reserved_against(machine, job)
+            || reservations.is_being_cleared_for_other(now, &machine.id, &spec.id)
+        {
             return None;
         }
-        // Urgent gangs take what is kept for lesser work, if need be: the alternative is to stop some.
-        let reserved = self.scheduling.reservations.reserving_gang_priority(
-            &self.cluster.jobs,
-            &m.id,
-            &spec.id,
-        );
-        let kept = match work.is_urgent() {
-            true => reserved.is_some_and(|priority| priority >= spec.priority),
-            false => self.scheduling.reservations.is_reserved_for_other(
+        Some(GangCandidate {
+            is_reserved: reservations.is_gang_reserved_for_other(
                 &self.cluster.jobs,
-                &m.id,
+                &machine.id,
                 &spec.id,
             ),
-        };
-        if kept
-            || self.scheduling.reservations.is_being_cleared_for_other(
-                context.now.monotonic_ms,
-                &m.id,
-                &spec.id,
-            )
-        {
-            return None;
-        }
-        Some(GangCandidate {
-            is_reserved: reserved.is_some(),
-            machine: m.id.clone(),
-            zone: m.zone.clone(),
+            machine: machine.id.clone(),
+            zone: machine.zone.clone(),
             slots,
-            image_fetch_s: self.cluster.image_fetch_s(m, spec).round() as i64,
-            price_per_cpu: machine_type.price_per_cpu(m.spot),
+            image_fetch_s: self.cluster.image_fetch_s(machine, spec).round() as i64,
+            price_per_cpu: machine_type.price_per_cpu(machine.spot),
         })
     }
 
-    /// Places every task under one new attempt, or none: a record may have no room for it.
+    /// Whether a reservation keeps the gang off the machine. An urgent gang takes what is reserved for
+    /// lower priorities, if need be: the alternative is to preempt them.
+    fn is_reserved_against(&self, machine: &Machine, gang: &JobState) -> bool {
+        let reservations = &self.scheduling.reservations;
+        let jobs = &self.cluster.jobs;
+        let id = &gang.spec.id;
+        if !gang.is_urgent() {
+            return reservations.is_reserved_for_other(jobs, &machine.id, id);
+        }
+        let owner_priority = reservations.reserving_gang_priority(jobs, &machine.id, id);
+        owner_priority.is_some_and(|priority| priority >= gang.spec.priority)
+    }
+
+    /// Places every task under one new attempt, or none: a record may have no space for it.
     fn place_planned_gang(
         &mut self,
         context: &LeaderContext,
-        job: &str,
+        job_id: &str,
         plan: GangPlacement,
     ) -> bool {
         // The last guard against running twice, whatever went wrong before.
-        if self.cluster.machines.present_tasks(job).next().is_some() {
-            log::error!("a task of gang {job} may still be on a machine; not placed");
+        if self.cluster.machines.present_tasks(job_id).next().is_some() {
+            log::error!("a task of gang {job_id} may still be on a machine; not placed");
             return false;
         }
         let attempt = self.cluster.allocate_attempt();
-        let shares = plan.allocations.iter();
-        let machines = shares.flat_map(|s| (0..s.tasks).map(|_| s.machine.clone()));
-        let machines: Vec<String> = machines.collect();
-        for (index, machine) in machines.iter().enumerate() {
-            if !self
-                .cluster
-                .place_attempt(machine, job, index as u32, attempt)
-            {
-                self.revert_attempt(&machines, job, attempt);
+        let allocations = plan.allocations.iter();
+        let machine_by_task: Vec<&String> = allocations
+            .flat_map(|allocation| (0..allocation.tasks).map(|_| &allocation.machine))
+            .collect();
+        for (index, machine) in (0..).zip(&machine_by_task) {
+            if !self.cluster.place_attempt(machine, job_id, index, attempt) {
+                self.revert_attempt(&machine_by_task, job_id, attempt);
                 return false;
             }
         }
-        self.scheduling.reservations.gang_reservations.remove(job);
-        self.scheduling
-            .reservations
+        let reservations = &mut self.scheduling.reservations;
+        reservations.gang_reservations.remove(job_id);
+        reservations
             .preemption_plans
-            .retain(|made| made.job != job);
-        if let Some(gang) = self.cluster.jobs.get_mut(job).and_then(|w| w.gang.as_mut()) {
-            gang.attempts_begun += 1;
-            gang.set_state(job, GangState::Storing { attempt });
+            .retain(|plan| plan.job != job_id);
+        let mut waited_ms = 0;
+        if let Some(job) = self.cluster.jobs.get_mut(job_id) {
+            waited_ms = job.gang_waited_ms(context.now);
+            if let Some(gang) = &mut job.gang {
+                gang.attempts_begun += 1;
+                gang.set_state(job_id, GangState::Storing { attempt });
+            }
         }
         log::info!(
-            "gang {job}#{attempt} is placed on {} machines after {} ms",
+            "gang {job_id}#{attempt} is placed on {} machines after {waited_ms} ms",
             plan.allocations.len(),
-            self.cluster
-                .jobs
-                .get(job)
-                .map_or(0, |w| w.gang_waited_ms(context.now))
         );
         true
     }
 
-    /// Takes placements back that were made a moment ago.
-    fn revert_attempt(&mut self, machines: &[String], job: &str, attempt: u64) {
+    /// Takes back placements that were made a moment ago.
+    fn revert_attempt(&mut self, machines: &[&String], job: &str, attempt: u64) {
         for id in machines {
-            if let Some(mut m) = self.cluster.machines.edit(id) {
-                m.placements
-                    .retain(|p| p.job != job || p.attempt != attempt);
+            if let Some(mut machine) = self.cluster.machines.edit(id) {
+                machine
+                    .placements
+                    .retain(|placement| placement.job != job || placement.attempt != attempt);
             }
             self.cluster.mark_group_stale(id);
         }
     }
 }
 
+/// The cheapest way to place all tasks in one zone, in the first of the zones that cost the same.
+fn allocate_in_one_zone(
+    candidates: &[GangCandidate],
+    task_count: u32,
+    max_tasks_per_zone: u32,
+) -> Option<GangPlacement> {
+    let mut zones: Vec<&str> = candidates
+        .iter()
+        .map(|candidate| candidate.zone.as_str())
+        .collect();
+    zones.sort_unstable();
+    zones.dedup();
+    let mut best: Option<GangPlacement> = None;
+    for zone in zones {
+        let in_zone = candidates.iter().filter(|candidate| candidate.zone == zone);
+        let Some(plan) = allocate_tasks(in_zone, task_count, max_tasks_per_zone) else {
+            continue;
+        };
+        if best.as_ref().is_none_or(|best| plan.cost < best.cost) {
+            best = Some(plan);
+        }
+    }
+    best
+}
+
 /// Takes machines in turn until all tasks have one. `None`: there are too few.
 fn allocate_tasks<'a>(
     candidates: impl Iterator<Item = &'a GangCandidate>,
-    tasks: u32,
-    zone_limit: u32,
+    task_count: u32,
+    max_tasks_per_zone: u32,
 ) -> Option<GangPlacement> {
-    let mut plan = GangPlacement {
-        allocations: vec![],
+    let mut allocations = vec![];
+    let mut cost = GangPlacementCost {
         uses_reserved: false,
         image_fetch_s: 0,
+        machine_count: 0,
         total_price: 0.0,
     };
-    let mut left = tasks;
-    let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut remaining = task_count;
+    let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
     for candidate in candidates {
-        let here = by_zone.entry(&candidate.zone).or_default();
-        let count = candidate.slots.min(left).min(zone_limit - *here);
-        if count == 0 {
+        let in_zone = tasks_by_zone.entry(&candidate.zone).or_default();
+        let tasks = candidate
+            .slots
+            .min(remaining)
+            .min(max_tasks_per_zone - *in_zone);
+        if tasks == 0 {
             continue;
         }
-        *here += count;
-        left -= count;
-        plan.uses_reserved |= candidate.is_reserved;
-        plan.image_fetch_s = plan.image_fetch_s.max(candidate.image_fetch_s);
-        plan.total_price += candidate.price_per_cpu * f64::from(count);
-        plan.allocations.push(MachineAllocation {
+        *in_zone += tasks;
+        remaining -= tasks;
+        cost.uses_reserved |= candidate.is_reserved;
+        cost.image_fetch_s = cost.image_fetch_s.max(candidate.image_fetch_s);
+        cost.machine_count += 1;
+        cost.total_price += candidate.price_per_cpu * f64::from(tasks);
+        allocations.push(MachineAllocation {
             machine: candidate.machine.clone(),
-            tasks: count,
+            tasks,
         });
-        if left == 0 {
-            return Some(plan);
+        if remaining == 0 {
+            return Some(GangPlacement { allocations, cost });
         }
     }
     None
--- a/crates/control/src/scheduling/gang_reservation.rs
+++ b/crates/control/src/scheduling/gang_reservation.rs
@@ -1,19 +1,18 @@
-//! Room for gangs that wait: made by stopping lesser work, whole or not at all, or kept on
+//! Capacity for gangs that wait: cleared by preemption, for the whole gang or not at all, or reserved on
 //! machines as their tasks end.
 //!
-//! The design has deadline-free work fill leftover room. None is ever left over for a whole gang
+//! The design has work without a deadline fill leftover capacity. None is ever left over for a whole gang
 //! while single tasks keep arriving, so a gang that waits has machines reserved, as many as it
 //! needs. A machine is reserved for one gang only and a gang reserves nothing or enough for all its
-//! tasks, so no two gangs each keep half of what both need.
+//! tasks, so no two gangs each hold half of what both need.
 use super::gang_placement::{placement_policy, GangPlacer, PlacementPolicy};
 use super::preemption::{
-    preemption_offers, team_cpus_after_stops, Preemption, PreemptionOffer, PreemptionRequest,
+    Preemption, PreemptionOffer, PreemptionRequest, PreemptionScope, PreemptionSearch,
 };
 use super::reservations::GangReservation;
 use super::state::SchedulingState;
 use crate::api::Millis;
-use crate::cluster::ClusterState;
-use crate::cluster::{JobState, Machine};
+use crate::cluster::{ClusterState, JobState, Machine, Placement};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -23,12 +22,30 @@
 };
 use stonegw_wire::msg::JobKind;
 
-/// Room for one task that a machine will have.
+/// Capacity for one task of a gang that a machine has now or will have.
 struct FutureSlot {
     free_in_ms: Millis,
     machine: String,
 }
 
+/// What a task will free, and when.
+struct FutureRelease {
+    in_ms: Millis,
+    resources: Resources,
+}
+
+/// Machines that will have capacity for a whole gang.
+struct ReservableMachines {
+    free_in_ms: Millis,
+    machines: BTreeSet<String>,
+}
+
+/// What has to be stopped for a whole gang.
+struct GangPreemption {
+    cost_ms: u64,
+    offers: Vec<PreemptionOffer>,
+}
+
 /// Reserves or clears capacity for whole gangs.
 pub struct GangReserver<'a> {
     cluster: &'a mut ClusterState,
@@ -36,6 +53,7 @@
 }
 
 impl<'a> GangReserver<'a> {
+    /// Works on this cluster, with what the scheduler's parts share.
     pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
         GangReserver {
             cluster,
@@ -45,342 +63,351 @@
 }
 
 impl GangReserver<'_> {
-    /// Places the gangs that need only leftover room. Urgent ones also push lesser work aside.
+    /// Places the gangs that are placed in leftover capacity. Urgent ones also preempt lower work.
     pub fn place_gangs_first_fit(&mut self, context: &LeaderContext) {
         let waiting = self.cluster.waiting_gangs(context);
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.cluster.machines_with_capacity(context);
-        for job in waiting {
-            let Some(work) = self.cluster.jobs.get(&job) else {
+        let machines = self.cluster.machines_with_capacity(context);
+        for job_id in waiting {
+            let Some(job) = self.cluster.jobs.get(&job_id) else {
                 continue;
             };
-            if placement_policy(work, context.now) != PlacementPolicy::FirstFit {
+            if placement_policy(job, context.now) != PlacementPolicy::FirstFit {
                 continue;
             }
-            let urgent = work.is_urgent();
-            if !GangPlacer::new(self.cluster, self.scheduling).place_gang(context, &job, &roomy)
-                && urgent
-            {
-                self.preempt_for_gang(context, &job, false);
+            let is_urgent = job.is_urgent();
+            if !self.place_gang(context, &job_id, &machines) && is_urgent {
+                self.preempt_for_gang(context, &job_id, PreemptionScope::LowerPriority);
             }
         }
     }
 
-    /// Each mapping: who waits for long has room reserved, and takes back what other teams borrow
-    /// from its team's guarantee.
+    /// Each full pass: gangs that have waited for long get machines reserved, and take back what other teams
+    /// run beyond their quotas.
     pub fn reserve_for_gangs(&mut self, context: &LeaderContext) {
         let waiting = self.cluster.waiting_gangs(context);
-        let waits: BTreeSet<&String> = waiting.iter().collect();
-        self.scheduling
-            .reservations
-            .gang_reservations
-            .retain(|job, _| waits.contains(job));
+        let waiting_set: BTreeSet<&String> = waiting.iter().collect();
+        let reservations = &mut self.scheduling.reservations.gang_reservations;
+        reservations.retain(|job, _| waiting_set.contains(job));
         if waiting.is_empty() {
             return;
         }
-        let roomy = self.cluster.machines_with_capacity(context);
-        for job in &waiting {
-            let Some(work) = self.cluster.jobs.get(job) else {
+        let machines = self.cluster.machines_with_capacity(context);
+        for job_id in &waiting {
+            let Some(job) = self.cluster.jobs.get(job_id) else {
                 continue;
             };
-            if work.gang_waited_ms(context.now) < GANG_RESERVATION_DELAY_MS
-                || GangPlacer::new(self.cluster, self.scheduling).place_gang(context, job, &roomy)
+            if job.gang_waited_ms(context.now) < GANG_RESERVATION_DELAY_MS
+                || self.place_gang(context, job_id, &machines)
             {
                 continue;
             }
-            self.reserve_for_gang(context, job);
-            let Some(work) = self.cluster.jobs.get(job) else {
-                continue;
-            };
-            let waited = work.gang_waited_ms(context.now);
-            if waited >= QUOTA_RECLAIM_WAIT_MS && self.cluster.gang_within_quota(context, work) {
-                self.preempt_for_gang(context, job, true);
+            self.reserve_for_gang(context, job_id);
+            if self.may_reclaim_quota(context, job_id) {
+                self.preempt_for_gang(context, job_id, PreemptionScope::QuotaReclaim);
             }
         }
     }
 
-    fn reserve_for_gang(&mut self, context: &LeaderContext, job: &str) {
-        if !self.may_reserve_for_gang(context.now.monotonic_ms, job) {
-            self.scheduling.reservations.gang_reservations.remove(job);
+    fn place_gang(&mut self, context: &LeaderContext, job: &str, machines: &[String]) -> bool {
+        GangPlacer::new(self.cluster, self.scheduling).place_gang(context, job, machines)
+    }
+
+    fn may_reclaim_quota(&self, context: &LeaderContext, job: &str) -> bool {
+        self.cluster.jobs.get(job).is_some_and(|job| {
+            job.gang_waited_ms(context.now) >= QUOTA_RECLAIM_WAIT_MS
+                && self.cluster.gang_within_quota(context, job)
+        })
+    }
+
+    fn reserve_for_gang(&mut self, context: &LeaderContext, job_id: &str) {
+        if !self.may_reserve_for_gang(context.now.monotonic_ms, job_id) {
+            self.release(job_id);
             return;
         }
-        let Some(work) = self.cluster.jobs.get(job) else {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
             return;
         };
-        if !self.cluster.gang_within_limit(context, work) {
-            if self.will_limit_fit_gang(context, work) {
-                let reservation = GangReservation::TeamLimit(work.spec.team.clone());
-                self.scheduling
-                    .reservations
-                    .gang_reservations
-                    .insert(job.to_owned(), reservation);
+        if !self.cluster.gang_within_limit(context, job) {
+            if self.will_limit_fit_gang(context, job) {
+                let reservation = GangReservation::TeamLimit(job.spec.team.clone());
+                self.reserve(job_id, reservation);
             }
             return;
         }
-        if self.is_reservation_sufficient(context, job) {
+        if self.is_reservation_sufficient(context, job_id) {
             return;
         }
-        self.scheduling.reservations.gang_reservations.remove(job);
-        let Some(machines) = self.machines_to_reserve(context, job) else {
+        self.release(job_id);
+        let Some(machines) = self.machines_to_reserve(context, job_id) else {
             return;
         };
-        // Most of the fleet goes on with single tasks. A gang that needs more than that part has it to
-        // itself.
-        let others = self.scheduling.reservations.reserved_machine_count();
-        if others > 0
-            && others + machines.len()
-                > self.cluster.machines.len() / GANG_RESERVATION_MACHINES_DIVISOR
-        {
+        if !self.is_share_available(machines.len()) {
             return;
         }
-        log::debug!("gang {job} has {} machines reserved", machines.len());
+        log::debug!("gang {job_id} has {} machines reserved", machines.len());
         for id in &machines {
             self.cluster.requeue_machine_queue(id);
         }
-        let reservation = GangReservation::Machines(machines);
-        self.scheduling
-            .reservations
-            .gang_reservations
-            .insert(job.to_owned(), reservation);
+        self.reserve(job_id, GangReservation::Machines(machines));
     }
 
-    /// Other work must not wait for long beside reserved room, so a reservation that has not led to a
+    fn reserve(&mut self, job: &str, reservation: GangReservation) {
+        let reservations = &mut self.scheduling.reservations.gang_reservations;
+        reservations.insert(job.to_owned(), reservation);
+    }
+
+    fn release(&mut self, job: &str) {
+        let reservations = &mut self.scheduling.reservations.gang_reservations;
+        reservations.remove(job);
+    }
+
+    /// Most of the fleet goes on with single tasks: gangs share a part of it. A gang that needs more than
+    /// that part has it to itself.
+    fn is_share_available(&self, machine_count: usize) -> bool {
+        let reserved = self.scheduling.reservations.reserved_machine_count();
+        let share = self.cluster.machines.len() / GANG_RESERVATION_MACHINES_DIVISOR;
+        reserved == 0 || reserved + machine_count <= share
+    }
+
+    /// Other work must not wait for long beside reserved capacity, so a reservation that has not led to a
     /// start in time pauses.
     fn may_reserve_for_gang(&mut self, now: Millis, job: &str) -> bool {
-        let reserved = self
-            .scheduling
-            .reservations
-            .gang_reservations
-            .contains_key(job);
-        let gang = self.cluster.jobs.get_mut(job).and_then(|w| w.gang.as_mut());
-        let Some(gang) = gang else {
+        let reservations = &self.scheduling.reservations.gang_reservations;
+        let is_reserved = reservations.contains_key(job);
+        let job = self.cluster.jobs.get_mut(job);
+        let Some(gang) = job.and_then(|job| job.gang.as_mut()) else {
             return false;
         };
-        if !reserved {
+        if !is_reserved {
             gang.reserved_since = None;
         }
-        let since = *gang.reserved_since.get_or_insert(now);
-        if now >= since + GANG_RESERVATION_MAX_MS {
+        let reserved_since = *gang.reserved_since.get_or_insert(now);
+        if now >= reserved_since + GANG_RESERVATION_MAX_MS {
             gang.reservation_allowed_at = now + GANG_RESERVATION_PAUSE_MS;
         }
         now >= gang.reservation_allowed_at
     }
 
-    /// Whether the team's limit has room for the gang once all but the team's services has ended.
-    fn will_limit_fit_gang(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let Some(team) = context.settings.team(&work.spec.team) else {
+    /// Whether the gang fits into the team's limit once all but the team's services has ended.
+    fn will_limit_fit_gang(&self, context: &LeaderContext, gang: &JobState) -> bool {
+        let Some(team) = context.settings.team(&gang.spec.team) else {
             return false;
         };
-        let of_team = |w: &&JobState| w.spec.team == team.name && w.spec.kind == JobKind::Service;
-        let whole = |w: &JobState| f64::from(w.spec.task_count) * w.spec.cpus;
-        let services: f64 = self.cluster.jobs.values().filter(of_team).map(whole).sum();
-        services + whole(work) <= team.limit_cpus + RESOURCE_EPSILON
+        let all_cpus = |job: &JobState| f64::from(job.spec.task_count) * job.spec.cpus;
+        let jobs = self.cluster.jobs.values();
+        let services =
+            jobs.filter(|job| job.spec.team == team.name && job.spec.kind == JobKind::Service);
+        let service_cpus: f64 = services.map(all_cpus).sum();
+        service_cpus + all_cpus(gang) <= team.limit_cpus + RESOURCE_EPSILON
     }
 
-    /// Whether the machines reserved for a gang will have room for all of it. More urgent work may have
+    /// Whether the machines reserved for a gang will have capacity for all of it. More urgent work may have
     /// taken some of that.
-    fn is_reservation_sufficient(&self, context: &LeaderContext, job: &str) -> bool {
-        let Some(GangReservation::Machines(kept)) =
-            self.scheduling.reservations.gang_reservations.get(job)
-        else {
+    fn is_reservation_sufficient(&self, context: &LeaderContext, job_id: &str) -> bool {
+        let reservation = self.scheduling.reservations.gang_reservations.get(job_id);
+        let Some(GangReservation::Machines(reserved)) = reservation else {
             return false;
         };
-        let Some(work) = self.cluster.jobs.get(job) else {
+        let Some(job) = self.cluster.jobs.get(job_id) else {
             return false;
         };
-        let machines = kept.iter().filter_map(|id| self.cluster.machines.get(id));
-        let usable = machines.filter(|m| self.cluster.is_eligible(context, m, work));
+        let now = context.now.monotonic_ms;
         let no_run_times = HashMap::new();
-        let slots: usize = usable
-            .map(|m| {
-                self.future_slots(context.now.monotonic_ms, m, work, &no_run_times)
-                    .len()
-            })
+        let slots: usize = reserved
+            .iter()
+            .filter_map(|id| self.cluster.machines.get(id))
+            .filter(|machine| self.cluster.is_eligible(context, machine, job))
+            .map(|machine| self.future_slots(now, machine, job, &no_run_times).len())
             .sum();
-        slots >= work.spec.task_count as usize
+        slots >= job.spec.task_count as usize
     }
 
-    /// The machines on which a gang would have its room soonest.
+    /// The machines on which a gang would have its capacity soonest.
     fn machines_to_reserve(
         &mut self,
         context: &LeaderContext,
         job: &str,
     ) -> Option<BTreeSet<String>> {
-        let run_ms = self.mean_run_ms_by_job();
-        let work = self.cluster.jobs.get(job)?;
-        let mut by_zone: BTreeMap<&str, Vec<FutureSlot>> = BTreeMap::new();
-        for m in self.cluster.machines.values() {
-            if self
-                .scheduling
-                .reservations
-                .is_reserved_for_other(&self.cluster.jobs, &m.id, job)
-                || !self.cluster.is_eligible(context, m, work)
+        let mean_run_ms = self.mean_run_ms_by_job();
+        let job = self.cluster.jobs.get(job)?;
+        let now = context.now.monotonic_ms;
+        let slots_by_zone = self.collect_by_zone(context, job, |machine| {
+            self.future_slots(now, machine, job, &mean_run_ms)
+        });
+        let task_count = job.spec.task_count as usize;
+        let soonest = slots_by_zone
+            .into_iter()
+            .filter_map(|slots| soonest_slots(slots, task_count))
+            .min_by_key(|reservable| reservable.free_in_ms);
+        let in_time = soonest.filter(|reservable| reservable.free_in_ms <= GANG_RESERVATION_MAX_MS);
+        in_time.map(|reservable| reservable.machines)
+    }
+
+    /// What `find` finds on each machine that the gang may use: one list for each zone, in the order of
+    /// their names, if the gang has to be in one zone, else one list for all.
+    fn collect_by_zone<T>(
+        &self,
+        context: &LeaderContext,
+        job: &JobState,
+        find: impl Fn(&Machine) -> Vec<T>,
+    ) -> Vec<Vec<T>> {
+        let reservations = &self.scheduling.reservations;
+        let jobs = &self.cluster.jobs;
+        let mut by_zone: BTreeMap<&str, Vec<T>> = BTreeMap::new();
+        for machine in self.cluster.machines.values() {
+            if !self.cluster.is_eligible(context, machine, job)
+                || reservations.is_reserved_for_other(jobs, &machine.id, &job.spec.id)
             {
                 continue;
             }
-            let zone = if work.spec.requires_single_zone {
-                m.zone.as_str()
+            let zone = if job.spec.requires_single_zone {
+                machine.zone.as_str()
             } else {
                 ""
             };
-            let slots = by_zone.entry(zone).or_default();
-            slots.extend(self.future_slots(context.now.monotonic_ms, m, work, &run_ms));
+            by_zone.entry(zone).or_default().extend(find(machine));
         }
-        let tasks = work.spec.task_count as usize;
-        let mut soonest: Option<(Millis, BTreeSet<String>)> = None;
-        for slots in by_zone.values_mut() {
-            slots.sort_by(|a, b| (a.free_in_ms, &a.machine).cmp(&(b.free_in_ms, &b.machine)));
-            slots.truncate(tasks);
-            let Some(last) = slots.last().filter(|_| slots.len() == tasks) else {
-                continue;
-            };
-            if soonest.as_ref().is_none_or(|(at, _)| last.free_in_ms < *at) {
-                let machines = slots.iter().map(|s| s.machine.clone()).collect();
-                soonest = Some((last.free_in_ms, machines));
-            }
-        }
-        let in_time = soonest.filter(|(at, _)| *at <= GANG_RESERVATION_MAX_MS);
-        in_time.map(|(_, machines)| machines)
+        by_zone.into_values().collect()
     }
 
     /// How long a task of each job runs on average, ms.
     fn mean_run_ms_by_job(&mut self) -> HashMap<String, Millis> {
         let estimates = &mut self.scheduling.estimates;
-        let works = self.cluster.jobs.iter();
-        works
-            .map(|(id, w)| (id.clone(), (estimates.mean_run_s(&w.spec) * 1e3) as Millis))
-            .collect()
+        let jobs = self.cluster.jobs.iter();
+        jobs.map(|(id, job)| {
+            (
+                id.clone(),
+                (estimates.mean_run_s(&job.spec) * 1e3) as Millis,
+            )
+        })
+        .collect()
     }
 
-    /// When a machine has room for a task of the gang, for the second and so on: services stay.
+    /// When a machine has capacity for a task of the gang, for the second and so on: services stay.
     fn future_slots(
         &self,
         now: Millis,
-        m: &Machine,
-        work: &JobState,
-        run_ms: &HashMap<String, Millis>,
+        machine: &Machine,
+        job: &JobState,
+        mean_run_ms: &HashMap<String, Millis>,
     ) -> Vec<FutureSlot> {
-        let need = Resources::of_task(&work.spec);
-        let Some(mut free) = self.cluster.free_resources(m) else {
+        let need = Resources::of_task(&job.spec);
+        let Some(mut free) = self.cluster.free_resources(machine) else {
             return vec![];
         };
-        let mut ends: Vec<(Millis, Resources)> = vec![];
-        for p in m.placements.iter().filter(|p| p.is_present()) {
-            let taken = Resources {
-                cpus: p.cpus,
-                gpus: p.gpus,
-                memory_gb: p.memory_gb,
-            };
-            let ended = p.stop_grace_s.is_some() || !self.cluster.jobs.contains_key(&p.job);
-            let stays = self
-                .cluster
-                .jobs
-                .get(&p.job)
-                .is_some_and(|w| w.spec.estimated_run_time_s <= 0.0);
-            if ended {
-                ends.push((0, taken));
-            } else if !stays {
-                let ran = p.running_at.map_or(0, |at| now.saturating_sub(at));
-                let run = run_ms.get(&p.job).copied().unwrap_or(0);
-                ends.push((run.saturating_sub(ran).max(GANG_MIN_REMAINING_MS), taken));
-            }
-        }
-        ends.sort_by_key(|(at, _)| *at);
+        let present = machine.placements.iter().filter(|task| task.is_present());
+        let mut releases: Vec<FutureRelease> = present
+            .filter_map(|placement| self.future_release(now, placement, mean_run_ms))
+            .collect();
+        releases.sort_by_key(|release| release.in_ms);
+        let free_now = FutureRelease {
+            in_ms: 0,
+            resources: Resources::default(),
+        };
         let mut slots = vec![];
-        let mut count = 0;
-        for (at, taken) in std::iter::once((0, Resources::default())).chain(ends) {
-            free += taken;
-            while free.count_fitting(&need) > count {
-                count += 1;
+        let mut slot_count = 0;
+        for release in std::iter::once(free_now).chain(releases) {
+            free += release.resources;
+            while free.count_fitting(&need) > slot_count {
+                slot_count += 1;
                 slots.push(FutureSlot {
-                    free_in_ms: at,
-                    machine: m.id.clone(),
+                    free_in_ms: release.in_ms,
+                    machine: machine.id.clone(),
                 });
             }
         }
         slots
     }
 
-    /// Stops lesser work so that the whole gang finds room, where that loses least; nothing is
-    /// stopped where it would not suffice. `guarantee`: also what other teams run beyond theirs.
-    pub(super) fn preempt_for_gang(&mut self, context: &LeaderContext, job: &str, guarantee: bool) {
-        let now = context.now.monotonic_ms;
-        if self
-            .scheduling
-            .reservations
-            .preemption_plans
-            .iter()
-            .any(|made| made.job == job)
-        {
+    /// What a task on a machine will free. `None`: it does not end by itself.
+    fn future_release(
+        &self,
+        now: Millis,
+        placement: &Placement,
+        mean_run_ms: &HashMap<String, Millis>,
+    ) -> Option<FutureRelease> {
+        let job = self.cluster.jobs.get(&placement.job);
+        let is_ending = placement.stop_grace_s.is_some() || job.is_none();
+        let stays = job.is_some_and(|job| job.spec.estimated_run_time_s <= 0.0);
+        let in_ms = if is_ending {
+            0
+        } else if stays {
+            return None;
+        } else {
+            let ran_ms = placement.running_at.map_or(0, |at| now.saturating_sub(at));
+            let run_ms = mean_run_ms.get(&placement.job).copied().unwrap_or(0);
+            run_ms.saturating_sub(ran_ms).max(GANG_MIN_REMAINING_MS)
+        };
+        Some(FutureRelease {
+            in_ms,
+            resources: placement.resources(),
+        })
+    }
+
+    /// Stops lower work so that the whole gang finds capacity, where that loses least; nothing is
+    /// stopped where it would not suffice.
+    fn preempt_for_gang(&mut self, context: &LeaderContext, job_id: &str, scope: PreemptionScope) {
+        let reservations = &self.scheduling.reservations;
+        if reservations.has_preemption_plan(job_id) {
             return;
         }
-        let mut claims =
-            Preemption::new(self.cluster, self.scheduling).refresh_preemption_claims(now);
-        let Some(work) = self.cluster.jobs.get(job) else {
+        let now = context.now.monotonic_ms;
+        let mut preemption = Preemption::new(self.cluster, self.scheduling);
+        let mut claims = preemption.refresh_preemption_claims(now);
+        let Some(job) = self.cluster.jobs.get(job_id) else {
             return;
         };
-        if !self.cluster.gang_within_limit(context, work) {
+        if !self.cluster.gang_within_limit(context, job) {
             return;
         }
-        let wanted = PreemptionRequest {
-            job: work,
-            tasks: work.spec.task_count,
-            reclaims_quota: guarantee,
+        let request = PreemptionRequest {
+            job,
+            tasks: job.spec.task_count,
+            scope,
         };
-        let used = team_cpus_after_stops(self.cluster, context, guarantee);
-        let mut by_zone: BTreeMap<&str, Vec<PreemptionOffer>> = BTreeMap::new();
-        for m in self.cluster.machines.values() {
-            if !self.cluster.is_eligible(context, m, work)
-                || self.scheduling.reservations.is_reserved_for_other(
-                    &self.cluster.jobs,
-                    &m.id,
-                    job,
-                )
-            {
-                continue;
-            }
-            let zone = if work.spec.requires_single_zone {
-                m.zone.as_str()
-            } else {
-                ""
-            };
-            let offers = preemption_offers(self.cluster, context, m, &wanted, &claims, &used);
-            by_zone.entry(zone).or_default().extend(offers);
-        }
-        let tasks = work.spec.task_count as usize;
-        let choices = by_zone
-            .into_values()
-            .filter_map(|o| cheapest_offers(o, tasks));
-        let choice = choices.min_by_key(|(cost, _)| *cost);
-        if let Some((cost, offers)) = choice {
-            let stops: usize = offers.iter().map(|o| o.victims.len()).sum();
-            log::info!("gang {job} pushes {stops} tasks aside, cost {cost} ms");
-            Preemption::new(self.cluster, self.scheduling).carry_out_preemption(
-                context,
-                job,
-                offers,
-                &mut claims,
-                true,
-            );
-        }
+        let search = PreemptionSearch::new(self.cluster, context, request, &claims);
+        let offers_by_zone =
+            self.collect_by_zone(context, job, |machine| search.offers_on(machine));
+        let task_count = job.spec.task_count as usize;
+        let cheapest = offers_by_zone
+            .into_iter()
+            .filter_map(|offers| cheapest_offers(offers, task_count))
+            .min_by_key(|preemption| preemption.cost_ms);
+        let Some(GangPreemption { cost_ms, offers }) = cheapest else {
+            return;
+        };
+        let victim_count: usize = offers.iter().map(|offer| offer.victims.len()).sum();
+        log::info!("gang {job_id} preempts {victim_count} tasks, cost {cost_ms} ms");
+        let mut preemption = Preemption::new(self.cluster, self.scheduling);
+        preemption.reserve_cleared_capacity(context, job_id, &offers);
+        preemption.carry_out_preemption(context, job_id, &offers, &mut claims);
     }
 }
 
-/// The cheapest so many offers and their cost together. A machine's offers build on each other, and
-/// each costs at least as much as the one before, so a machine's first are always taken first.
-fn cheapest_offers(
-    mut offers: Vec<PreemptionOffer>,
-    tasks: usize,
-) -> Option<(u64, Vec<PreemptionOffer>)> {
+/// The machines of the soonest slots for so many tasks. `None`: there are too few slots.
+fn soonest_slots(mut slots: Vec<FutureSlot>, task_count: usize) -> Option<ReservableMachines> {
+    slots.sort_by(|a, b| (a.free_in_ms, &a.machine).cmp(&(b.free_in_ms, &b.machine)));
+    slots.truncate(task_count);
+    let last = slots.last().filter(|_| slots.len() == task_count)?;
+    Some(ReservableMachines {
+        free_in_ms: last.free_in_ms,
+        machines: slots.iter().map(|slot| slot.machine.clone()).collect(),
+    })
+}
+
+/// The cheapest offers for so many tasks. A machine's offers build on each other, and each costs at least
+/// as much as the one before, so a machine's first are always taken first. `None`: there are too few.
+fn cheapest_offers(mut offers: Vec<PreemptionOffer>, task_count: usize) -> Option<GangPreemption> {
     offers.sort_by(|a, b| {
         (a.cost_ms, &a.machine, a.machine_order).cmp(&(b.cost_ms, &b.machine, b.machine_order))
     });
-    if offers.len() < tasks {
+    if offers.len() < task_count {
         return None;
     }
-    offers.truncate(tasks);
-    let cost = offers.iter().map(|o| o.cost_ms).sum();
-    Some((cost, offers))
+    offers.truncate(task_count);
+    let cost_ms = offers.iter().map(|offer| offer.cost_ms).sum();
+    Some(GangPreemption { cost_ms, offers })
 }
--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -1,8 +1,8 @@
-//! The machines' queues as one mapping sees them, with the curves of when their tasks end.
+//! The machines' queues as one pass of deadline placement sees them, with the distributions of when their
+//! tasks end.
 use super::state::SchedulingState;
 use crate::api::Now;
-use crate::cluster::ClusterState;
-use crate::cluster::{JobState, Lifecycle, Machine};
+use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Placement};
 use crate::context::LeaderContext;
 use std::collections::BTreeMap;
 use stonegw_constants::MAX_QUEUED_TASKS_PER_MACHINE;
@@ -12,23 +12,22 @@
 use stonegw_sched::time_distribution::TimeDistribution;
 use stonegw_wire::msg::{JobKind, MachineType};
 
-/// A machine as one mapping sees it.
+/// A machine with its queue, as one pass sees it.
 pub(super) struct MachineQueue {
     pub(super) id: String,
-    /// Its type's place in the catalogue.
+    /// The index of its type in the catalogue.
     pub(super) machine_type_index: usize,
     pub(super) price_per_cpu: f64,
-    pub(super) spot: bool,
-    /// The images it holds, by their number in this mapping.
+    pub(super) is_spot: bool,
+    /// The images it holds, by their number in this pass.
     pub(super) image_ids: Vec<usize>,
-    /// s a GB of an image takes to fetch.
     pub(super) image_fetch_s_per_gb: f64,
     pub(super) forecast: QueueForecast,
-    /// Grows with every task put here: offers made before are out of date.
+    /// Grows with every task put here: scores computed before are out of date.
     pub(super) change_count: u32,
 }
 
-/// The instantaneous robustness: the mean chance of the tasks on machines to be in time.
+/// The robustness at this moment: the mean on-time probability of all running and queued tasks.
 #[derive(Default)]
 pub(super) struct OnTimeAverage {
     probability_sum: f64,
@@ -36,8 +35,8 @@
 }
 
 impl OnTimeAverage {
-    fn add(&mut self, chance: f64) {
-        self.probability_sum += chance;
+    fn add(&mut self, on_time_probability: f64) {
+        self.probability_sum += on_time_probability;
         self.task_count += 1;
     }
 
@@ -51,164 +50,209 @@
     }
 }
 
-/// One machine's queue while it is put together.
-struct QueueForecastBuilder<'a> {
-    now: Now,
-    machine: &'a Machine,
-    machine_type: &'a MachineType,
-    jobs: &'a mut BTreeMap<String, JobState>,
-    scheduling: &'a mut SchedulingState,
-    on_time_average: &'a mut OnTimeAverage,
-    forecast: QueueForecast,
+/// How much is needed of the distribution of a queued task's end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EndPrecision {
+    /// The whole distribution.
+    Full,
+    /// Its mean and the on-time probability: saves a convolution.
+    MeanAndProbability,
 }
 
-/// When a held task would end, and its chance to be in time.
+/// When a queued task would end, and the probability that it is on time.
 struct QueuedTaskEnd {
-    end_distribution: TimeDistribution,
+    distribution: TimeDistribution,
     on_time_probability: f64,
 }
 
 impl QueuedTaskEnd {
-    /// `whole`: the whole curve is needed, not only its mean and the chance.
-    fn new(
-        runs: &mut RunTimeHistogram,
+    fn estimate(
+        run_times: &mut RunTimeHistogram,
         start: &EstimatedStart,
-        due: f64,
-        whole: bool,
+        due_s: f64,
+        precision: EndPrecision,
     ) -> QueuedTaskEnd {
-        let end_distribution = match &start.wait {
-            None => runs.distribution().clone(),
-            Some(at) if whole => at.distribution.convolve(runs.distribution()),
-            Some(at) => at.distribution.shift(runs.mean_s()),
-        };
-        let on_time_probability = match &start.wait {
-            Some(at) if !whole => at.distribution.on_time_probability(runs.cumulative(), due),
-            _ => end_distribution.probability_by(due),
+        let Some(wait) = &start.wait else {
+            return QueuedTaskEnd::with_distribution(run_times.distribution().clone(), due_s);
         };
+        match precision {
+            EndPrecision::Full => {
+                let end = wait.distribution.convolve(run_times.distribution());
+                QueuedTaskEnd::with_distribution(end, due_s)
+            }
+            EndPrecision::MeanAndProbability => QueuedTaskEnd {
+                distribution: wait.distribution.shift(run_times.mean_s()),
+                on_time_probability: wait
+                    .distribution
+                    .on_time_probability(run_times.cumulative(), due_s),
+            },
+        }
+    }
+
+    fn with_distribution(distribution: TimeDistribution, due_s: f64) -> QueuedTaskEnd {
         QueuedTaskEnd {
-            end_distribution,
-            on_time_probability,
+            on_time_probability: distribution.probability_by(due_s),
+            distribution,
         }
     }
 }
 
+/// One machine's queue while it is put together.
+struct QueueForecastBuilder<'a> {
+    now: Now,
+    machine: &'a Machine,
+    machine_type: &'a MachineType,
+    jobs: &'a mut BTreeMap<String, JobState>,
+    scheduling: &'a mut SchedulingState,
+    on_time_average: &'a mut OnTimeAverage,
+    forecast: QueueForecast,
+}
+
 impl QueueForecastBuilder<'_> {
-    /// Puts in the tasks that may be on the machine, the soonest to end first.
+    /// Adds the tasks that may be on the machine, the soonest to end first.
     fn add_placements(&mut self) {
-        for p in self.machine.placements.iter().filter(|p| p.is_present()) {
-            let Some(w) = self.jobs.get(&p.job) else {
-                // Ended: it leaves within moments.
-                let slot = ExpectedRelease::new(
-                    TimeDistribution::point_mass(1.0),
-                    p.cpus,
-                    p.gpus,
-                    p.memory_gb,
-                );
-                self.forecast.expected_releases.push(slot);
-                continue;
-            };
-            if w.spec.kind == JobKind::Service {
-                continue;
-            }
-            let runs = self
-                .scheduling
-                .estimates
-                .run_time_histogram(&w.spec, &self.machine_type.name);
-            let end = match p.running_at {
-                Some(t) => {
-                    runs.remaining_after(self.now.monotonic_ms.saturating_sub(t) as f64 / 1e3)
-                }
-                None => runs.distribution().clone(),
-            };
-            if let Some(due) = w.seconds_to_deadline(self.now.wall_ms) {
-                self.on_time_average.add(end.probability_by(due));
+        let machine = self.machine;
+        for placement in &machine.placements {
+            if placement.is_present() {
+                self.add_placement(placement);
             }
-            let slot = ExpectedRelease::new(end, p.cpus, p.gpus, p.memory_gb);
-            self.forecast.expected_releases.push(slot);
         }
         self.forecast
             .expected_releases
             .sort_by(|a, b| a.mean_end_s.total_cmp(&b.mean_end_s));
     }
 
-    /// Puts in the held tasks and returns those that stay held.
-    fn add_queued(&mut self) -> Vec<(String, u32)> {
-        let held = &self.machine.queued;
-        let mut kept = vec![];
-        for (position, (job, index)) in held.iter().enumerate() {
-            if self.try_add_queued_task(position, job, *index) {
-                kept.push((job.clone(), *index));
+    fn add_placement(&mut self, placement: &Placement) {
+        let Some(job) = self.jobs.get(&placement.job) else {
+            // The job has ended: its task leaves within moments.
+            return self.add_release(placement, TimeDistribution::point_mass(1.0));
+        };
+        if job.spec.kind == JobKind::Service {
+            return;
+        }
+        let estimates = &mut self.scheduling.estimates;
+        let run_times = estimates.run_time_histogram(&job.spec, &self.machine_type.name);
+        let end = match placement.running_at {
+            Some(at) => {
+                let ran_ms = self.now.monotonic_ms.saturating_sub(at);
+                run_times.remaining_after(ran_ms as f64 / 1e3)
             }
+            None => run_times.distribution().clone(),
+        };
+        if let Some(due_s) = job.seconds_to_deadline(self.now.wall_ms) {
+            self.on_time_average.add(end.probability_by(due_s));
         }
-        kept
+        self.add_release(placement, end);
     }
 
-    /// Puts a held task in; or gives it back where it finds no room in time, or where its chance is
-    /// below the drop threshold while the toggle is on.
-    fn try_add_queued_task(&mut self, position: usize, job: &str, index: u32) -> bool {
-        let Some(w) = self.jobs.get(job) else {
+    fn add_release(&mut self, placement: &Placement, end: TimeDistribution) {
+        let Placement {
+            cpus,
+            gpus,
+            memory_gb,
+            ..
+        } = *placement;
+        let release = ExpectedRelease::new(end, cpus, gpus, memory_gb);
+        self.forecast.expected_releases.push(release);
+    }
+
+    /// Adds the queued tasks and returns those that stay queued.
+    fn add_queued(&mut self) -> Vec<(String, u32)> {
+        let machine = self.machine;
+        let queued = machine.queued.iter().enumerate();
+        let staying =
+            queued.filter(|(position, (job, index))| self.add_queued_task(*position, job, *index));
+        staying.map(|(_, task)| task.clone()).collect()
+    }
+
+    /// Adds a queued task. False: it leaves the queue, for it can't start in time, its deadline has
+    /// passed, or its on-time probability is below the drop threshold while the toggle is on.
+    fn add_queued_task(&mut self, position: usize, job_id: &str, index: u32) -> bool {
+        let Some(job) = self.jobs.get(job_id) else {
             return false;
         };
-        let spec = &w.spec;
-        let due = w.seconds_to_deadline(self.now.wall_ms).unwrap_or(0.0);
-        let (cpus, gpus, memory) = (spec.cpus, spec.gpus, spec.memory_gb);
-        let Some(start) = self.forecast.estimate_start(cpus, gpus, memory) else {
-            self.jobs.get_mut(job).expect("seen").requeue(index);
+        let (cpus, gpus, memory_gb) = (job.spec.cpus, job.spec.gpus, job.spec.memory_gb);
+        let Some(start) = self.forecast.estimate_start(cpus, gpus, memory_gb) else {
+            self.remove_from_queue(job_id, index);
             return false;
         };
-        let on = self.scheduling.pruner.overload_toggle == OverloadToggle::On;
-        let runs = self
-            .scheduling
-            .estimates
-            .run_time_histogram(spec, &self.machine_type.name);
-        // The whole curve only where something follows from it: a task behind this one,
-        // or the drop threshold.
-        let last = self.machine.queued.len();
-        let whole = on || position + 1 < last || last < MAX_QUEUED_TASKS_PER_MACHINE;
-        let QueuedTaskEnd {
-            end_distribution: end,
-            on_time_probability: chance,
-        } = QueuedTaskEnd::new(runs, &start, due, whole);
-        let drop = on && chance < Pruner::drop_threshold(end.skewness(), position + 1);
-        if drop || due <= 0.0 {
-            let id = &self.machine.id;
-            log::info!("{job}/{index} leaves the queue of {id}: chance {chance:.2}");
-            let w = self.jobs.get_mut(job).expect("seen");
-            w.requeue(index);
-            if drop {
-                w.pruned_tasks.insert(index);
+        let due_s = job.seconds_to_deadline(self.now.wall_ms).unwrap_or(0.0);
+        let precision = self.end_precision(position);
+        let estimates = &mut self.scheduling.estimates;
+        let run_times = estimates.run_time_histogram(&job.spec, &self.machine_type.name);
+        let end = QueuedTaskEnd::estimate(run_times, &start, due_s, precision);
+        let chance = end.on_time_probability;
+        let is_dropped = self.is_toggle_on()
+            && chance < Pruner::drop_threshold(end.distribution.skewness(), position + 1);
+        if is_dropped || due_s <= 0.0 {
+            let machine = &self.machine.id;
+            log::info!(
+                "{job_id}/{index} leaves the queue of {machine}: on-time probability {chance:.2}"
+            );
+            let job = self.remove_from_queue(job_id, index);
+            if is_dropped {
+                job.pruned_tasks.insert(index);
             }
             return false;
         }
         self.on_time_average.add(chance);
-        self.forecast.add_task(&start, end, cpus, gpus, memory);
+        let distribution = end.distribution;
+        self.forecast
+            .add_task(&start, distribution, cpus, gpus, memory_gb);
         true
     }
+
+    fn is_toggle_on(&self) -> bool {
+        self.scheduling.pruner.overload_toggle == OverloadToggle::On
+    }
+
+    /// The whole distribution is needed only where something follows from it: a task behind this one,
+    /// or the drop threshold.
+    fn end_precision(&self, position: usize) -> EndPrecision {
+        let queued_count = self.machine.queued.len();
+        let has_successor =
+            position + 1 < queued_count || queued_count < MAX_QUEUED_TASKS_PER_MACHINE;
+        if self.is_toggle_on() || has_successor {
+            EndPrecision::Full
+        } else {
+            EndPrecision::MeanAndProbability
+        }
+    }
+
+    /// The task waits for a machine again.
+    fn remove_from_queue(&mut self, job: &str, index: u32) -> &mut JobState {
+        let job = self.jobs.get_mut(job).expect("looked up by the caller");
+        job.requeue(index);
+        job
+    }
 }
 
-/// Every open machine's queue with its tail curves. Held tasks below the drop threshold
-/// leave while the toggle is on. Counts into the instantaneous robustness.
+/// The queues of all machines that take new tasks. Queued tasks below the drop threshold leave while the
+/// toggle is on. `on_time_average` takes in every running and queued task.
 pub(super) fn machine_queues(
     cluster: &mut ClusterState,
     scheduling: &mut SchedulingState,
     context: &LeaderContext,
-    robustness: &mut OnTimeAverage,
+    on_time_average: &mut OnTimeAverage,
 ) -> Vec<MachineQueue> {
     let now = context.now.monotonic_ms;
-    let ids: Vec<String> = cluster
-        .machines
-        .values()
-        .filter(|m| {
-            m.lifecycle == Lifecycle::Ready
-                && !m.is_silent(now, context.settings.heartbeat_interval_s)
-        })
-        .map(|m| m.id.clone())
-        .collect();
-    let mut seats = vec![];
+    let heartbeat_interval_s = context.settings.heartbeat_interval_s;
+    let is_live = |machine: &&Machine| {
+        machine.lifecycle == Lifecycle::Ready && !machine.is_silent(now, heartbeat_interval_s)
+    };
+    let live = cluster.machines.values().filter(is_live);
+    let ids: Vec<String> = live.map(|machine| machine.id.clone()).collect();
+    let mut queues = vec![];
     for id in ids {
-        seats.extend(machine_queue(cluster, scheduling, context, id, robustness));
+        queues.extend(machine_queue(
+            cluster,
+            scheduling,
+            context,
+            id,
+            on_time_average,
+        ));
     }
-    seats
+    queues
 }
 
 /// One machine's queue. `None`: the machine takes no new tasks.
@@ -217,43 +261,43 @@
     scheduling: &mut SchedulingState,
     context: &LeaderContext,
     id: String,
-    robustness: &mut OnTimeAverage,
+    on_time_average: &mut OnTimeAverage,
 ) -> Option<MachineQueue> {
     let machine = cluster.machines.get(&id)?;
-    let types = &cluster.catalog.machine_types;
-    let kind = types.iter().position(|t| t.name == machine.machine_type)?;
-    let machine_type = &types[kind];
-    let (cpus, gpus, memory) = machine.free_resources(machine_type);
-    let (price, spot) = (machine_type.price_per_cpu(machine.spot), machine.spot);
+    let machine_types = &cluster.catalog.machine_types;
+    let machine_type_index = machine_types
+        .iter()
+        .position(|machine_type| machine_type.name == machine.machine_type)?;
+    let machine_type = &machine_types[machine_type_index];
+    let free = cluster.free_resources(machine)?;
+    let accepts_tasks = cluster.accepts_tasks(context, machine);
     let mut builder = QueueForecastBuilder {
         now: context.now,
         machine,
         machine_type,
         jobs: &mut cluster.jobs,
         scheduling,
-        on_time_average: robustness,
-        forecast: QueueForecast::with_free(cpus, gpus, memory),
+        on_time_average,
+        forecast: QueueForecast::with_free(free.cpus, free.gpus, free.memory_gb),
     };
     builder.add_placements();
-    let kept = builder.add_queued();
-    let queue = builder.forecast;
-    let open = cluster.accepts_tasks(context, machine)
-        && !scheduling
-            .reservations
-            .is_being_cleared(context.now.monotonic_ms, &id);
-    if kept != machine.queued {
-        if let Some(mut m) = cluster.machines.edit(&id) {
-            m.queued = kept;
-        }
-    }
-    open.then_some(MachineQueue {
-        id,
-        machine_type_index: kind,
-        price_per_cpu: price,
-        spot,
+    let staying = builder.add_queued();
+    let queue = MachineQueue {
+        machine_type_index,
+        price_per_cpu: machine_type.price_per_cpu(machine.spot),
+        is_spot: machine.spot,
         image_ids: vec![],
         image_fetch_s_per_gb: 0.0,
-        forecast: queue,
+        forecast: builder.forecast,
         change_count: 0,
-    })
+        id,
+    };
+    if staying != machine.queued {
+        if let Some(mut machine) = cluster.machines.edit(&queue.id) {
+            machine.queued = staying;
+        }
+    }
+    let now = context.now.monotonic_ms;
+    let is_being_cleared = scheduling.reservations.is_being_cleared(now, &queue.id);
+    (accepts_tasks && !is_being_cleared).then_some(queue)
 }
