--- a/crates/control/src/scheduling/preemption.rs
+++ b/crates/control/src/scheduling/preemption.rs
@@ -1,11 +1,10 @@
-//! Making room: urgent work pushes lesser work aside, and teams within their guarantee take back
-//! what others borrow.
+//! Preemption: urgent work stops work of lower priority, and teams within their quota take back what
+//! others run beyond theirs.
 use super::gang_lifecycle::GangLifecycle;
 use super::reservations::PreemptionPlan;
 use super::state::SchedulingState;
 use crate::api::Millis;
-use crate::cluster::ClusterState;
-use crate::cluster::{JobState, Lifecycle, Machine, Phase, Placement};
+use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Phase, Placement};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::collections::HashMap;
@@ -16,53 +15,250 @@
 };
 use stonegw_wire::msg::{JobKind, JobSpec};
 
-/// Room that is being made on machines, by machine.
+/// Capacity that is being cleared for jobs, by machine.
 pub type PreemptionClaims = HashMap<String, Resources>;
 
 fn add_claim(claims: &mut PreemptionClaims, machine: &str, spec: &JobSpec) {
     *claims.entry(machine.to_owned()).or_default() += Resources::of_task(spec);
 }
 
-/// For whose tasks room is looked for, and for how many.
+/// Which tasks may be stopped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PreemptionScope {
+    /// Those of lower priority.
+    LowerPriority,
+    /// Also those that other teams run beyond their quotas.
+    QuotaReclaim,
+}
+
+/// What capacity is looked for.
+#[derive(Clone, Copy)]
 pub struct PreemptionRequest<'a> {
+    /// The job that needs it.
     pub job: &'a JobState,
+    /// For how many of its tasks.
     pub tasks: u32,
-    /// What other teams run beyond their guarantees may be stopped as well.
-    pub reclaims_quota: bool,
+    /// What may be stopped for them.
+    pub scope: PreemptionScope,
+}
+
+/// One task that has to be stopped; where it is a gang's, the whole gang.
+#[derive(Clone, Debug)]
+pub struct PreemptedTask {
+    /// Its job.
+    pub job: String,
+    /// Its attempt.
+    pub attempt: u64,
 }
 
-/// Room for one task on a machine, after those of the same machine with a lower order.
+/// Capacity for one task on a machine, after those of the same machine with a lower order.
 #[derive(Debug)]
 pub struct PreemptionOffer {
-    /// ms of run time that are lost, and the weighted wait for the image.
+    /// The run time that is lost and the weighted wait for the image, ms.
     pub cost_ms: u64,
+    /// Where.
     pub machine: String,
+    /// The position of this offer among those of its machine.
     pub machine_order: u32,
-    /// What has to be stopped for it: jobs and attempts.
-    pub victims: Vec<(String, u64)>,
+    /// What has to be stopped for it.
+    pub victims: Vec<PreemptedTask>,
 }
 
 /// A task that may be stopped.
 struct Victim {
     lost_run_ms: u64,
-    job: String,
-    attempt: u64,
+    task: PreemptedTask,
     resources: Resources,
 }
 
 /// Run time that is lost if a task is stopped now. A gang is stopped whole; it loses no more than
-/// it takes to save where it can.
-fn lost_run_ms(now: Millis, p: &Placement, work: &JobState) -> u64 {
-    let ran = p.running_at.map_or(0, |at| now.saturating_sub(at));
-    if work.gang.is_none() {
-        return ran;
+/// a checkpoint takes where it can make one.
+fn lost_run_ms(now: Millis, placement: &Placement, job: &JobState) -> u64 {
+    let ran_ms = placement.running_at.map_or(0, |at| now.saturating_sub(at));
+    if job.gang.is_none() {
+        return ran_ms;
     }
-    let lost = if work.spec.checkpoint_interval_s > 0.0 {
-        ran.min((work.spec.checkpoint_duration_s * 1e3) as u64)
+    let lost_ms = if job.spec.checkpoint_interval_s > 0.0 {
+        ran_ms.min((job.spec.checkpoint_duration_s * 1e3) as u64)
     } else {
-        ran
+        ran_ms
     };
-    (lost + GANG_RESTART_COST_MS) * u64::from(work.spec.task_count)
+    (lost_ms + GANG_RESTART_COST_MS) * u64::from(job.spec.task_count)
+}
+
+/// What is free on a machine, and what is being stopped there.
+fn free_or_stopping(cluster: &ClusterState, machine: &Machine) -> Option<Resources> {
+    let mut free = cluster.free_resources(machine)?;
+    for placement in &machine.placements {
+        if placement.is_present() && placement.stop_grace_s.is_some() {
+            free += placement.resources();
+        }
+    }
+    Some(free)
+}
+
+/// Looks for the tasks that are stopped at the least loss.
+pub(super) struct PreemptionSearch<'a> {
+    cluster: &'a ClusterState,
+    context: &'a LeaderContext<'a>,
+    request: PreemptionRequest<'a>,
+    /// Capacity that others wait for.
+    claims: &'a PreemptionClaims,
+    /// CPUs that each team keeps once what is being stopped has ended. Empty unless quotas are reclaimed.
+    remaining_team_cpus: HashMap<&'a str, f64>,
+}
+
+impl<'a> PreemptionSearch<'a> {
+    /// A search for what the request asks for, beside capacity that is claimed already.
+    pub(super) fn new(
+        cluster: &'a ClusterState,
+        context: &'a LeaderContext,
+        request: PreemptionRequest<'a>,
+        claims: &'a PreemptionClaims,
+    ) -> Self {
+        let remaining_team_cpus = match request.scope {
+            PreemptionScope::LowerPriority => HashMap::new(),
+            PreemptionScope::QuotaReclaim => remaining_team_cpus(cluster, context),
+        };
+        PreemptionSearch {
+            cluster,
+            context,
+            request,
+            claims,
+            remaining_team_cpus,
+        }
+    }
+
+    /// Capacity for up to the requested number of tasks on one machine, the cost growing from offer to
+    /// offer.
+    pub(super) fn offers_on(&self, machine: &Machine) -> Vec<PreemptionOffer> {
+        let Some(mut free) = free_or_stopping(self.cluster, machine) else {
+            return vec![];
+        };
+        free -= self.claims.get(&machine.id).copied().unwrap_or_default();
+        let spec = &self.request.job.spec;
+        let need = Resources::of_task(spec);
+        let mut victims = self.find_victims(machine).into_iter();
+        // An urgent task's wait for its image weighs more than the run time lost.
+        let image_fetch_s = self.cluster.image_fetch_s(machine, spec);
+        let mut cost_ms = (image_fetch_s * IMAGE_FETCH_WEIGHT * 1e3) as u64;
+        let mut offers = vec![];
+        for machine_order in 0..self.request.tasks {
+            let mut stopped = vec![];
+            while !free.has_capacity_for(&need) {
+                let Some(victim) = victims.next() else {
+                    return offers;
+                };
+                free += victim.resources;
+                cost_ms += victim.lost_run_ms + 1;
+                stopped.push(victim.task);
+            }
+            free -= need;
+            offers.push(PreemptionOffer {
+                cost_ms,
+                machine: machine.id.clone(),
+                machine_order,
+                victims: stopped,
+            });
+        }
+        offers
+    }
+
+    /// Tasks on a machine that may be stopped, those that lose least first.
+    fn find_victims(&self, machine: &Machine) -> Vec<Victim> {
+        let now = self.context.now.monotonic_ms;
+        let mut victims = vec![];
+        let mut stopped_team_cpus = HashMap::new();
+        for placement in &machine.placements {
+            let Some(job) = self.cluster.jobs.get(&placement.job) else {
+                continue;
+            };
+            let is_leaving =
+                placement.stop_grace_s.is_some() || placement.phase == Phase::Checkpointing;
+            if !placement.is_present() || is_leaving {
+                continue;
+            }
+            let is_excess = self.is_beyond_quota(placement, job, &mut stopped_team_cpus);
+            if job.spec.priority < self.request.job.spec.priority || is_excess {
+                victims.push(Victim {
+                    lost_run_ms: lost_run_ms(now, placement, job),
+                    task: PreemptedTask {
+                        job: placement.job.clone(),
+                        attempt: placement.attempt,
+                    },
+                    resources: placement.resources(),
+                });
+            }
+        }
+        victims.sort_by_key(|victim| victim.lost_run_ms);
+        victims
+    }
+
+    /// Whether another team runs this task beyond its quota and has not run it for long. `stopped_team_cpus`
+    /// counts what the search has looked at on the machine, by team.
+    fn is_beyond_quota<'b>(
+        &self,
+        placement: &Placement,
+        job: &'b JobState,
+        stopped_team_cpus: &mut HashMap<&'b str, f64>,
+    ) -> bool {
+        let loses_little = || {
+            let now = self.context.now.monotonic_ms;
+            let running_at = placement.running_at;
+            running_at.is_none_or(|at| now < at + QUOTA_RECLAIM_MAX_LOSS_MS)
+        };
+        if self.request.scope != PreemptionScope::QuotaReclaim
+            || job.spec.team == self.request.job.spec.team
+            || job.spec.kind != JobKind::Array
+            || !loses_little()
+        {
+            return false;
+        }
+        let Some(team) = self.context.settings.team(&job.spec.team) else {
+            return false;
+        };
+        let remaining_cpus = self.remaining_team_cpus.get(team.name.as_str());
+        let stopped_cpus = stopped_team_cpus.entry(&job.spec.team).or_insert(0.0);
+        *stopped_cpus += placement.cpus;
+        remaining_cpus.copied().unwrap_or(0.0) - *stopped_cpus >= team.quota_cpus - RESOURCE_EPSILON
+    }
+}
+
+/// CPUs that each team keeps, not counting what is being stopped.
+fn remaining_team_cpus<'a>(
+    cluster: &ClusterState,
+    context: &'a LeaderContext,
+) -> HashMap<&'a str, f64> {
+    let mut remaining = HashMap::new();
+    for team in &context.settings.teams {
+        let (cpus, _) = cluster.machines.team_usage(&team.name);
+        remaining.insert(team.name.as_str(), cpus);
+    }
+    for machine in cluster.machines.with_pending_commands() {
+        let placements = machine.placements.iter();
+        for placement in placements.filter(|placement| placement.is_present()) {
+            let team_cpus = remaining.get_mut(placement.team.as_str());
+            if let (Some(_), Some(cpus)) = (placement.stop_grace_s, team_cpus) {
+                *cpus -= placement.cpus;
+            }
+        }
+    }
+    remaining
+}
+
+/// Tasks of a job within its team's quota that found no capacity.
+struct QuotaClaim {
+    job: String,
+    tasks: usize,
+}
+
+/// What one round of reclaiming has done so far.
+struct ReclaimRound {
+    claims: PreemptionClaims,
+    /// What is being cleared for each team.
+    claimed_by_team: HashMap<String, Resources>,
+    /// For how many more tasks capacity may be cleared.
+    remaining_tasks: usize,
 }
 
 /// Stops running tasks where others of higher priority, or within their quota, find no capacity.
@@ -72,6 +268,7 @@
 }
 
 impl<'a> Preemption<'a> {
+    /// Works on this cluster, with what the scheduler's parts share.
     pub fn new(cluster: &'a mut ClusterState, scheduling: &'a mut SchedulingState) -> Self {
         Preemption {
             cluster,
@@ -81,315 +278,247 @@
 }
 
 impl Preemption<'_> {
-    /// Room that is being made and may still be believed in, by machine.
+    /// Drops the plans that have expired or are no longer needed, and returns what the others clear.
     pub fn refresh_preemption_claims(&mut self, now: Millis) -> PreemptionClaims {
         let mut claims = PreemptionClaims::new();
-        let mut making = std::mem::take(&mut self.scheduling.reservations.preemption_plans);
-        making.retain(|made| {
-            let Some(work) = self.cluster.jobs.get(&made.job) else {
+        let plans = &mut self.scheduling.reservations.preemption_plans;
+        plans.retain(|plan| {
+            let Some(job) = self.cluster.jobs.get(&plan.job) else {
                 return false;
             };
-            let machine = self.cluster.machines.get(&made.machine);
-            let Some(free) = machine.and_then(|m| free_or_stopping(self.cluster, m)) else {
+            let machine = self.cluster.machines.get(&plan.machine);
+            let free = machine.and_then(|machine| free_or_stopping(self.cluster, machine));
+            let Some(free) = free else {
                 return false;
             };
-            let taken = claims.get(&made.machine).copied().unwrap_or_default();
-            let fits = (free - taken).has_capacity_for(&Resources::of_task(&work.spec));
-            let waits = !work.pending_tasks.is_empty() || work.is_gang_waiting();
-            let believed = fits && now < made.expires_at && waits;
-            if believed {
-                add_claim(&mut claims, &made.machine, &work.spec);
+            let claimed = claims.get(&plan.machine).copied().unwrap_or_default();
+            let fits = (free - claimed).has_capacity_for(&Resources::of_task(&job.spec));
+            let waits = !job.pending_tasks.is_empty() || job.is_gang_waiting();
+            let is_valid = fits && now < plan.expires_at && waits;
+            if is_valid {
+                add_claim(&mut claims, &plan.machine, &job.spec);
             }
-            believed
+            is_valid
         });
-        self.scheduling.reservations.preemption_plans = making;
         claims
     }
 
-    /// Stops work of lower priority where that loses least, so that an urgent task can start.
+    /// Stops lower work where that loses least, so that a task of the job can start. False: stopping what
+    /// may be stopped would not suffice anywhere.
     pub fn preempt(
         &mut self,
         context: &LeaderContext,
         job: &str,
-        claimed: &mut PreemptionClaims,
-        guarantee: bool,
+        claims: &mut PreemptionClaims,
+        scope: PreemptionScope,
     ) -> bool {
-        let Some(work) = self.cluster.jobs.get(job) else {
-            return false;
-        };
-        let wanted = PreemptionRequest {
-            job: work,
-            tasks: 1,
-            reclaims_quota: guarantee,
-        };
-        let used = team_cpus_after_stops(self.cluster, context, guarantee);
-        let mut best: Option<PreemptionOffer> = None;
-        for m in self.cluster.machines.values() {
-            let kept = guarantee
-                && self.scheduling.reservations.is_reserved_for_other(
-                    &self.cluster.jobs,
-                    &m.id,
-                    job,
-                )
-                || self.scheduling.reservations.is_gang_reserved_for_other(
-                    &self.cluster.jobs,
-                    &m.id,
-                    job,
-                );
-            if kept || !self.cluster.is_eligible(context, m, work) {
-                continue;
-            }
-            for offer in preemption_offers(self.cluster, context, m, &wanted, claimed, &used) {
-                if best.as_ref().is_none_or(|b| offer.cost_ms < b.cost_ms) {
-                    best = Some(offer);
-                }
-            }
-        }
-        let Some(offer) = best else {
+        let Some(offer) = self.cheapest_offer(context, job, claims, scope) else {
             return false;
         };
         if !offer.victims.is_empty() {
             log::info!(
-                "{job} pushes {} tasks aside on {}, cost {} ms",
+                "{job} preempts {} tasks on {}, cost {} ms",
                 offer.victims.len(),
                 offer.machine,
                 offer.cost_ms
             );
         }
-        self.carry_out_preemption(context, job, vec![offer], claimed, !guarantee);
+        let offers = [offer];
+        if scope == PreemptionScope::LowerPriority {
+            self.reserve_cleared_capacity(context, job, &offers);
+        }
+        self.carry_out_preemption(context, job, &offers, claims);
         true
     }
 
-    /// Stops what the offers name. `keep`: the room goes to nothing else for a while.
+    /// The cheapest offer of all machines, of the first of them if several cost the same.
+    fn cheapest_offer(
+        &self,
+        context: &LeaderContext,
+        job_id: &str,
+        claims: &PreemptionClaims,
+        scope: PreemptionScope,
+    ) -> Option<PreemptionOffer> {
+        let job = self.cluster.jobs.get(job_id)?;
+        let request = PreemptionRequest {
+            job,
+            tasks: 1,
+            scope,
+        };
+        let search = PreemptionSearch::new(self.cluster, context, request, claims);
+        let jobs = &self.cluster.jobs;
+        let reservations = &self.scheduling.reservations;
+        let is_reserved = |machine: &str| match scope {
+            PreemptionScope::LowerPriority => {
+                reservations.is_gang_reserved_for_other(jobs, machine, job_id)
+            }
+            PreemptionScope::QuotaReclaim => {
+                reservations.is_reserved_for_other(jobs, machine, job_id)
+            }
+        };
+        let machines = self.cluster.machines.values().filter(|machine| {
+            !is_reserved(&machine.id) && self.cluster.is_eligible(context, machine, job)
+        });
+        machines
+            .flat_map(|machine| search.offers_on(machine))
+            .min_by_key(|offer| offer.cost_ms)
+    }
+
+    /// Reserves what the offers clear for the job for a while.
+    pub fn reserve_cleared_capacity(
+        &mut self,
+        context: &LeaderContext,
+        job: &str,
+        offers: &[PreemptionOffer],
+    ) {
+        let plans = offers.iter().map(|offer| PreemptionPlan {
+            machine: offer.machine.clone(),
+            job: job.to_owned(),
+            expires_at: context.now.monotonic_ms + PREEMPTION_PLAN_TIMEOUT_MS,
+        });
+        let reservations = &mut self.scheduling.reservations;
+        reservations.preemption_plans.extend(plans);
+    }
+
+    /// Stops what the offers name. Tasks queued on those machines wait for another.
     pub fn carry_out_preemption(
         &mut self,
         context: &LeaderContext,
         job: &str,
-        offers: Vec<PreemptionOffer>,
-        claimed: &mut PreemptionClaims,
-        keep: bool,
+        offers: &[PreemptionOffer],
+        claims: &mut PreemptionClaims,
     ) {
-        let Some(spec) = self.cluster.jobs.get(job).map(|w| w.spec.clone()) else {
+        let Some(spec) = self.cluster.jobs.get(job).map(|job| job.spec.clone()) else {
             return;
         };
         for offer in offers {
-            add_claim(claimed, &offer.machine, &spec);
-            if keep {
-                self.scheduling
-                    .reservations
-                    .preemption_plans
-                    .push(PreemptionPlan {
-                        machine: offer.machine.clone(),
-                        job: job.to_owned(),
-                        expires_at: context.now.monotonic_ms + PREEMPTION_PLAN_TIMEOUT_MS,
-                    });
-            }
+            add_claim(claims, &offer.machine, &spec);
             self.cluster.requeue_machine_queue(&offer.machine);
-            for (victim, attempt) in &offer.victims {
-                self.stop_victim(context, &offer.machine, victim, *attempt);
+            for victim in &offer.victims {
+                self.stop_victim(context, &offer.machine, victim);
             }
         }
     }
 
     /// Stops one task, or the whole gang that it belongs to.
-    fn stop_victim(&mut self, context: &LeaderContext, machine: &str, job: &str, attempt: u64) {
-        let Some(work) = self.cluster.jobs.get(job) else {
+    fn stop_victim(&mut self, context: &LeaderContext, machine: &str, victim: &PreemptedTask) {
+        let Some(job) = self.cluster.jobs.get(&victim.job) else {
             return;
         };
-        if work.gang.is_some() {
-            return GangLifecycle::new(self.cluster).stop_gang(context, job);
+        if job.gang.is_some() {
+            return GangLifecycle::new(self.cluster).stop_gang(context, &victim.job);
         }
-        let grace_s = if work.spec.checkpoint_interval_s > 0.0 {
-            work.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
+        let grace_s = if job.spec.checkpoint_interval_s > 0.0 {
+            job.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
         } else {
             0.0
         };
-        let Some(mut m) = self.cluster.machines.edit(machine) else {
+        let Some(mut machine) = self.cluster.machines.edit(machine) else {
             return;
         };
-        for p in m.placements.iter_mut().filter(|p| p.attempt == attempt) {
-            p.stop_grace_s = Some(grace_s);
+        for placement in &mut machine.placements {
+            if placement.attempt == victim.attempt {
+                placement.stop_grace_s = Some(grace_s);
+            }
         }
     }
 
-    /// Work within its team's guarantee that found no room: other teams return what they borrow,
-    /// the tasks that have run least.
+    /// For jobs within their team's quota that found no capacity, other teams return what they run beyond
+    /// theirs: the tasks that have run least.
     pub fn reclaim_quota(&mut self, context: &LeaderContext) {
-        let mut claimed = PreemptionClaims::new();
-        let mut extra: HashMap<String, (f64, f64)> = HashMap::new();
-        let waiting: Vec<(String, usize)> = self
-            .cluster
-            .jobs
-            .iter()
-            .filter(|(_, w)| {
-                !w.end_write_in_flight
-                    && context.now.monotonic_ms >= w.retry_at
-                    && w.spec.deadline_s.is_some()
-            })
-            .filter(|(_, w)| !w.failures.job_is_broken())
-            .filter(|(_, w)| {
-                let age = context.now.wall_ms.saturating_sub(w.submitted_at_ms);
-                age > QUOTA_RECLAIM_WAIT_MS
-                    && w.seconds_to_deadline(context.now.wall_ms)
-                        .is_some_and(|d| d > 0.0)
-            })
-            .map(|(id, w)| (id.clone(), w.unpruned_count()))
-            .filter(|(_, n)| *n > 0)
-            .collect();
-        let kind = self
-            .cluster
-            .machines
-            .values()
-            .find(|m| m.lifecycle == Lifecycle::Ready);
-        let kind = kind.map_or(String::new(), |m| m.machine_type.clone());
-        // A part of the fleet at a time: what is stopped in vain must stay little.
-        let fleet = self.cluster.machines.len() / QUOTA_RECLAIM_MACHINES_DIVISOR;
-        let mut left = QUOTA_RECLAIM_MIN_TASKS.max(fleet);
-        for (job, n) in waiting {
-            // What the threshold holds back anyway must not push others aside for nothing.
-            let Some(w) = self.cluster.jobs.get(&job) else {
-                continue;
-            };
-            let due = w.seconds_to_deadline(context.now.wall_ms).unwrap_or(0.0);
-            let runs = self.scheduling.estimates.run_time_histogram(&w.spec, &kind);
-            if runs.cumulative().on_time_probability_after(0.0, due)
-                < self.scheduling.pruner.deferring_threshold
-            {
+        // A part of the fleet at a time: little must be lost if it is stopped in vain.
+        let part_of_fleet = self.cluster.machines.len() / QUOTA_RECLAIM_MACHINES_DIVISOR;
+        let mut round = ReclaimRound {
+            claims: PreemptionClaims::new(),
+            claimed_by_team: HashMap::new(),
+            remaining_tasks: QUOTA_RECLAIM_MIN_TASKS.max(part_of_fleet),
+        };
+        let quota_claims = self.quota_claims(context);
+        let machine_type = self.usual_machine_type();
+        for claim in quota_claims {
+            if self.is_below_deferring_threshold(context, &claim.job, &machine_type) {
                 continue;
             }
-            let spec = w.spec.clone();
-            for _ in 0..n {
-                let e = extra.get(&spec.team).copied().unwrap_or_default();
-                if left == 0
-                    || !self.cluster.within_quota(context, &spec, e)
-                    || !self.cluster.within_limit(context, &spec, e)
-                {
-                    break;
-                }
-                left -= 1;
-                if !self.preempt(context, &job, &mut claimed, true) {
-                    break;
-                }
-                let e = extra.entry(spec.team.clone()).or_default();
-                *e = (e.0 + spec.cpus, e.1 + spec.gpus);
-            }
+            self.reclaim_for_job(context, &claim, &mut round);
         }
     }
-}
 
-/// CPUs that each team keeps, not counting what is being stopped. Only a guarantee asks for it.
-pub(super) fn team_cpus_after_stops(
-    cluster: &ClusterState,
-    context: &LeaderContext,
-    guarantee: bool,
-) -> HashMap<String, f64> {
-    let mut kept = HashMap::new();
-    if !guarantee {
-        return kept;
-    }
-    for team in &context.settings.teams {
-        kept.insert(team.name.clone(), cluster.machines.team_usage(&team.name).0);
-    }
-    for m in cluster.machines.with_pending_commands() {
-        for p in m.placements.iter().filter(|p| p.is_present()) {
-            if let (Some(_), Some(cpus)) = (p.stop_grace_s, kept.get_mut(p.team.as_str())) {
-                *cpus -= p.cpus;
-            }
-        }
+    /// Jobs with a deadline ahead that have waited long enough to take back their team's quota.
+    fn quota_claims(&self, context: &LeaderContext) -> Vec<QuotaClaim> {
+        let now = context.now;
+        let may_claim = |job: &JobState| {
+            let age_ms = now.wall_ms.saturating_sub(job.submitted_at_ms);
+            let due_s = job.seconds_to_deadline(now.wall_ms);
+            !job.end_write_in_flight
+                && now.monotonic_ms >= job.retry_at
+                && !job.failures.job_is_broken()
+                && age_ms > QUOTA_RECLAIM_WAIT_MS
+                && due_s.is_some_and(|due_s| due_s > 0.0)
+        };
+        let jobs = self.cluster.jobs.iter();
+        jobs.filter(|(_, job)| may_claim(job))
+            .map(|(id, job)| QuotaClaim {
+                job: id.clone(),
+                tasks: job.unpruned_count(),
+            })
+            .filter(|claim| claim.tasks > 0)
+            .collect()
     }
-    kept
-}
 
-/// Room for up to so many of a job's tasks on one machine, in the order in which it costs more.
-pub(super) fn preemption_offers(
-    cluster: &ClusterState,
-    context: &LeaderContext,
-    m: &Machine,
-    wanted: &PreemptionRequest,
-    claimed: &PreemptionClaims,
-    kept: &HashMap<String, f64>,
-) -> Vec<PreemptionOffer> {
-    let Some(mut free) = free_or_stopping(cluster, m) else {
-        return vec![];
-    };
-    free -= claimed.get(&m.id).copied().unwrap_or_default();
-    let need = Resources::of_task(&wanted.job.spec);
-    let mut victims = find_victims(cluster, context, m, wanted, kept).into_iter();
-    // An urgent task's wait for its image weighs more than the run time lost.
-    let fetch_s = cluster.image_fetch_s(m, &wanted.job.spec);
-    let mut cost = (fetch_s * IMAGE_FETCH_WEIGHT * 1e3) as u64;
-    let mut offers = vec![];
-    for order in 0..wanted.tasks {
-        let mut stops = vec![];
-        while !free.has_capacity_for(&need) {
-            let Some(victim) = victims.next() else {
-                return offers;
-            };
-            free += victim.resources;
-            cost += victim.lost_run_ms + 1;
-            stops.push((victim.job, victim.attempt));
-        }
-        free -= need;
-        offers.push(PreemptionOffer {
-            cost_ms: cost,
-            machine: m.id.clone(),
-            machine_order: order,
-            victims: stops,
-        });
+    /// The type of the first machine that is ready, by which run times are estimated.
+    fn usual_machine_type(&self) -> String {
+        let mut machines = self.cluster.machines.values();
+        let ready = machines.find(|machine| machine.lifecycle == Lifecycle::Ready);
+        ready.map_or(String::new(), |machine| machine.machine_type.clone())
     }
-    offers
-}
 
-/// What is free on a machine, and what is being stopped there.
-fn free_or_stopping(cluster: &ClusterState, m: &Machine) -> Option<Resources> {
-    let mut free = cluster.free_resources(m)?;
-    let leaving = m.placements.iter();
-    for p in leaving.filter(|p| p.is_present() && p.stop_grace_s.is_some()) {
-        free += p.resources();
+    /// Whether the job's tasks would be deferred anyway: nothing must be stopped for them in vain.
+    fn is_below_deferring_threshold(
+        &mut self,
+        context: &LeaderContext,
+        job: &str,
+        machine_type: &str,
+    ) -> bool {
+        let Some(job) = self.cluster.jobs.get(job) else {
+            return true;
+        };
+        let due_s = job.seconds_to_deadline(context.now.wall_ms).unwrap_or(0.0);
+        let estimates = &mut self.scheduling.estimates;
+        let run_times = estimates.run_time_histogram(&job.spec, machine_type);
+        let probability = run_times.cumulative().on_time_probability_after(0.0, due_s);
+        probability < self.scheduling.pruner.deferring_threshold
     }
-    Some(free)
-}
 
-/// Tasks on a machine that may be stopped for this work, those that lose least first.
-fn find_victims(
-    cluster: &ClusterState,
-    context: &LeaderContext,
-    m: &Machine,
-    wanted: &PreemptionRequest,
-    kept: &HashMap<String, f64>,
-) -> Vec<Victim> {
-    let now = context.now.monotonic_ms;
-    let spec = &wanted.job.spec;
-    let mut victims = vec![];
-    let mut going: HashMap<&str, f64> = HashMap::new();
-    for p in m.placements.iter().filter(|p| p.is_present()) {
-        let Some(work) = cluster.jobs.get(&p.job) else {
-            continue;
+    fn reclaim_for_job(
+        &mut self,
+        context: &LeaderContext,
+        claim: &QuotaClaim,
+        round: &mut ReclaimRound,
+    ) {
+        let Some(spec) = self
+            .cluster
+            .jobs
+            .get(&claim.job)
+            .map(|job| job.spec.clone())
+        else {
+            return;
         };
-        if p.stop_grace_s.is_some() || p.phase == Phase::Checkpointing {
-            continue;
-        }
-        // Beyond lower priority, only what another team runs above its guarantee.
-        let excess = wanted.reclaims_quota
-            && work.spec.team != spec.team
-            && work.spec.kind == JobKind::Array
-            && p.running_at
-                .is_none_or(|at| now < at + QUOTA_RECLAIM_MAX_LOSS_MS)
-            && context.settings.team(&work.spec.team).is_some_and(|team| {
-                let cpus = kept.get(team.name.as_str()).copied().unwrap_or(0.0);
-                let going = going.entry(&work.spec.team).or_insert(0.0);
-                *going += p.cpus;
-                cpus - *going >= team.quota_cpus - RESOURCE_EPSILON
-            });
-        if work.spec.priority < spec.priority || excess {
-            victims.push(Victim {
-                lost_run_ms: lost_run_ms(now, p, work),
-                job: p.job.clone(),
-                attempt: p.attempt,
-                resources: p.resources(),
-            });
+        for _ in 0..claim.tasks {
+            let claimed = round.claimed_by_team.get(&spec.team).copied();
+            let claimed = claimed.unwrap_or_default();
+            if round.remaining_tasks == 0
+                || !self.cluster.within_quota_with(context, &spec, claimed)
+                || !self.cluster.within_limit_with(context, &spec, claimed)
+            {
+                return;
+            }
+            round.remaining_tasks -= 1;
+            let scope = PreemptionScope::QuotaReclaim;
+            if !self.preempt(context, &claim.job, &mut round.claims, scope) {
+                return;
+            }
+            let claimed = round.claimed_by_team.entry(spec.team.clone());
+            *claimed.or_default() += Resources::of_task(&spec);
         }
     }
-    victims.sort_by_key(|v| v.lost_run_ms);
-    victims
 }
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -1,68 +1,89 @@
-//! Capacity that is kept for a job: for one that is starved, for a gang, or where tasks are being preempted.
+//! Capacity that is reserved for a job: a starved one, a gang, or one for which tasks are being preempted.
 use crate::api::Millis;
 use crate::cluster::JobState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stonegw_wire::msg::{JobSpec, Priority};
 
-/// What is kept for a job that waited for long.
+/// What is reserved for a starved job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgingReservation {
+    /// The capacity of this machine.
     Machine(String),
-    /// What its team may still take.
+    /// What remains of this team's limit.
     TeamLimit(String),
 }
 
-/// What is kept for a gang that waits.
+/// What is reserved for a waiting gang.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GangReservation {
-    /// Room on these machines.
+    /// Capacity of these machines.
     Machines(BTreeSet<String>),
-    /// What its team may still take.
+    /// What remains of this team's limit.
     TeamLimit(String),
 }
 
-/// Room that lesser work is leaving on a machine for an urgent job. Nothing else may take it:
-/// else the job would push aside again and again and wait for each.
+/// Capacity that preempted tasks are leaving on a machine. Only the job they were stopped for may take
+/// it: otherwise that job would preempt again and again and wait each time.
 #[derive(Debug)]
 pub struct PreemptionPlan {
+    /// Where tasks are being stopped.
     pub machine: String,
+    /// The job for which they are stopped.
     pub job: String,
+    /// When the plan is given up.
     pub(crate) expires_at: Millis,
 }
 
-/// All capacity that is kept for a job.
+impl PreemptionPlan {
+    fn is_clearing(&self, now: Millis, machine: &str) -> bool {
+        self.machine == machine && now < self.expires_at
+    }
+}
+
+/// All capacity that is reserved for a job.
 #[derive(Default)]
 pub struct Reservations {
     /// For starved jobs, by job.
     pub aging_reservations: HashMap<String, AgingReservation>,
     /// For waiting gangs, by job.
     pub gang_reservations: HashMap<String, GangReservation>,
-    /// Where tasks are being stopped for urgent jobs.
+    /// Where tasks are being stopped for a job.
     pub preemption_plans: Vec<PreemptionPlan>,
 }
 
 impl Reservations {
-    /// Whether a machine's room is kept for another job.
+    /// Whether a machine is reserved for another job than this one.
     pub fn is_reserved_for_other(
         &self,
         jobs: &BTreeMap<String, JobState>,
         machine: &str,
         job: &str,
     ) -> bool {
-        let mut kept = self.aging_reservations.iter();
-        kept.any(|(j, k)| j != job && matches!(k, AgingReservation::Machine(m) if m == machine))
+        self.is_machine_aging_reserved_for_other(machine, job)
             || self.is_gang_reserved_for_other(jobs, machine, job)
     }
 
-    /// Whether what its team may still take is kept for another job.
+    fn is_machine_aging_reserved_for_other(&self, machine: &str, job: &str) -> bool {
+        let mut reservations = self.aging_reservations.iter();
+        reservations.any(|(owner, reservation)| {
+            let holds_machine =
+                matches!(reservation, AgingReservation::Machine(id) if id == machine);
+            owner != job && holds_machine
+        })
+    }
+
+    /// Whether what remains of the job's team limit is reserved for another job.
     pub fn is_team_reserved_for_other(&self, spec: &JobSpec) -> bool {
-        let mut kept = self.aging_reservations.iter();
-        kept.any(|(j, k)| {
-            *j != spec.id && matches!(k, AgingReservation::TeamLimit(t) if *t == spec.team)
-        }) || self.is_team_gang_reserved_for_other(&spec.team, &spec.id)
+        let mut reservations = self.aging_reservations.iter();
+        let is_aging_reserved = reservations.any(|(owner, reservation)| {
+            let holds_team =
+                matches!(reservation, AgingReservation::TeamLimit(team) if *team == spec.team);
+            *owner != spec.id && holds_team
+        });
+        is_aging_reserved || self.is_team_gang_reserved_for_other(&spec.team, &spec.id)
     }
 
-    /// Whether a machine is reserved for another gang.
+    /// Whether a machine is reserved for another gang than this job.
     pub fn is_gang_reserved_for_other(
         &self,
         jobs: &BTreeMap<String, JobState>,
@@ -72,45 +93,55 @@
         self.reserving_gang_priority(jobs, machine, job).is_some()
     }
 
-    /// The priority of the other gang that a machine is reserved for, of the highest if for several.
+    /// The priority of the other gang that a machine is reserved for, the highest if there are several.
     pub(crate) fn reserving_gang_priority(
         &self,
         jobs: &BTreeMap<String, JobState>,
         machine: &str,
         job: &str,
     ) -> Option<Priority> {
-        let reservations = self.gang_reservations.iter();
-        let others = reservations.filter(|(other, _)| *other != job);
-        let here = others
-            .filter(|(_, r)| matches!(r, GangReservation::Machines(ids) if ids.contains(machine)));
-        here.filter_map(|(other, _)| Some(jobs.get(other)?.spec.priority))
+        let holds_machine = |reservation: &GangReservation| matches!(reservation, GangReservation::Machines(ids) if ids.contains(machine));
+        self.gang_reservations
+            .iter()
+            .filter(|(owner, reservation)| *owner != job && holds_machine(reservation))
+            .filter_map(|(owner, _)| Some(jobs.get(owner)?.spec.priority))
             .max()
     }
 
-    /// Whether what a team may still take is reserved for a gang other than `job`.
+    /// Whether what remains of a team's limit is reserved for another gang than this job.
     pub fn is_team_gang_reserved_for_other(&self, team: &str, job: &str) -> bool {
-        let mut others = self.gang_reservations.iter().filter(|(j, _)| *j != job);
-        others.any(|(_, r)| matches!(r, GangReservation::TeamLimit(t) if t == team))
+        let mut reservations = self.gang_reservations.iter();
+        reservations.any(|(owner, reservation)| {
+            let holds_team =
+                matches!(reservation, GangReservation::TeamLimit(reserved) if reserved == team);
+            owner != job && holds_team
+        })
     }
 
+    /// How many machines are reserved for gangs.
     pub(crate) fn reserved_machine_count(&self) -> usize {
         let reservations = self.gang_reservations.values();
-        let counts = reservations.map(|r| match r {
+        let counts = reservations.map(|reservation| match reservation {
             GangReservation::Machines(ids) => ids.len(),
             GangReservation::TeamLimit(_) => 0,
         });
         counts.sum()
     }
 
-    /// Whether room on the machine is being made for urgent work.
+    /// Whether tasks on the machine are being stopped for some job.
     pub fn is_being_cleared(&self, now: Millis, machine: &str) -> bool {
-        let mut making = self.preemption_plans.iter();
-        making.any(|m| m.machine == machine && now < m.expires_at)
+        let mut plans = self.preemption_plans.iter();
+        plans.any(|plan| plan.is_clearing(now, machine))
     }
 
-    /// The same, unless it is made for this job.
+    /// Whether tasks on the machine are being stopped for another job than this one.
     pub fn is_being_cleared_for_other(&self, now: Millis, machine: &str, job: &str) -> bool {
-        let mut making = self.preemption_plans.iter();
-        making.any(|m| m.machine == machine && m.job != job && now < m.expires_at)
+        let mut plans = self.preemption_plans.iter();
+        plans.any(|plan| plan.job != job && plan.is_clearing(now, machine))
+    }
+
+    /// Whether tasks are being stopped for the job.
+    pub(crate) fn has_preemption_plan(&self, job: &str) -> bool {
+        self.preemption_plans.iter().any(|plan| plan.job == job)
     }
 }
--- a/crates/control/src/scheduling/scheduler.rs
+++ b/crates/control/src/scheduling/scheduler.rs
@@ -1,12 +1,12 @@
 //! The order in which the scheduler's parts work.
 //!
-//! Deadline tasks follow the rules of the design: in each full pass every task picks the machine with its best
-//! chance and the soonest-finishing pair is placed first; what is below the deferring threshold waits; queued
-//! tasks below the drop threshold leave their queue while the overload toggle is on. Everything else fills
-//! leftover capacity first fit.
+//! Deadline tasks follow the rules of the design: in each full pass every task picks the machine with its
+//! highest on-time probability and the pair that finishes soonest is placed first; what is below the
+//! deferring threshold waits; queued tasks below the drop threshold leave their queue while the overload
+//! toggle is on. Everything else fills the remaining capacity first fit.
 use super::aging::Aging;
 use super::deadline_placement::DeadlinePlacement;
-use super::first_fit::FirstFit;
+use super::first_fit::{FirstFit, FirstFitSelection};
 use super::gang_placement::GangPlacer;
 use super::gang_reservation::GangReserver;
 use super::preemption::Preemption;
@@ -54,12 +54,15 @@
 
     fn run_urgent_pass(&mut self, cluster: &mut ClusterState, context: &LeaderContext) {
         let state = &mut self.state;
-        FirstFit::new(cluster, state).place_first_fit(context, true);
+        FirstFit::new(cluster, state).place_first_fit(context, FirstFitSelection::Urgent);
         GangReserver::new(cluster, state).place_gangs_first_fit(context);
-        let with_queue = cluster.machines.values().filter(|m| !m.queued.is_empty());
-        let with_queue: Vec<String> = with_queue.map(|m| m.id.clone()).collect();
-        for id in with_queue {
-            FirstFit::new(cluster, state).dispatch_queued(context, &id);
+        let machines = cluster.machines.values();
+        let with_queue: Vec<String> = machines
+            .filter(|machine| !machine.queued.is_empty())
+            .map(|machine| machine.id.clone())
+            .collect();
+        for machine in with_queue {
+            FirstFit::new(cluster, state).dispatch_queued(context, &machine);
         }
     }
 
@@ -69,7 +72,7 @@
         GangReserver::new(cluster, state).reserve_for_gangs(context);
         GangPlacer::new(cluster, state).place_deadline_gangs(context);
         DeadlinePlacement::new(cluster, state).place_deadline_jobs(context);
-        FirstFit::new(cluster, state).place_first_fit(context, false);
+        FirstFit::new(cluster, state).place_first_fit(context, FirstFitSelection::Backfill);
         Aging::new(cluster, state).place_deferred(context);
         Preemption::new(cluster, state).reclaim_quota(context);
     }
--- a/crates/control/src/scheduling/state.rs
+++ b/crates/control/src/scheduling/state.rs
@@ -4,16 +4,21 @@
 use stonegw_sched::pruner::Pruner;
 use stonegw_wire::msg::Priority;
 
-/// What is placed first: by priority, then what is within its team's quota.
-pub(super) type PlacementRank = (Priority, bool);
+/// The order in which jobs are placed, the highest first: by priority, then those within their team's
+/// quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PlacementRank {
+    pub(super) priority: Priority,
+    pub(super) is_within_quota: bool,
+}
 
-/// What the scheduler's parts hold between their passes.
+/// What the scheduler's parts keep between passes.
 #[derive(Default)]
 pub struct SchedulingState {
-    /// Defers and drops tasks that are hardly ever in time.
+    /// Defers and drops tasks that are unlikely to meet their deadline.
     pub pruner: Pruner,
-    /// How long tasks run.
+    /// Estimates of how long tasks run.
     pub estimates: RunTimeEstimates,
-    /// Capacity that is kept for a job.
+    /// Capacity reserved for a job.
     pub reservations: Reservations,
 }
