--- a/crates/control/src/scheduling/first_fit.rs
+++ b/crates/control/src/scheduling/first_fit.rs
@@ -1,5 +1,6 @@
 //! First fit: urgent work at once, and leftover capacity for work without a deadline, late or dropped.
-use super::preemption::{Preemption, PreemptionClaims, PreemptionScope};
+use super::preemption::Preemption;
+use super::preemption_search::{PreemptionClaims, PreemptionScope};
 use super::state::{PlacementRank, SchedulingState};
 use crate::cluster::{is_immediate, ClusterState, JobState, Machine};
 use crate::context::LeaderContext;
--- a/crates/control/src/scheduling/gang_lifecycle_tests.rs
+++ b/crates/control/src/scheduling/gang_lifecycle_tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::cluster::JobState;
+use stonegw_wire::msg::{JobKind, JobSpec, Priority};
 
 fn member(index: u32, attempt: u64, phase: Phase) -> GangMember {
     GangMember {
@@ -15,7 +16,7 @@
     next_gang_state(7, GangState::Waiting, members, 2)
 }
 
-/// A `run` may go out only once every placement of the attempt is stored.
+/// A start command may go out only once every placement of the attempt is stored.
 #[test]
 fn an_attempt_gathers_only_when_all_its_placements_are_stored() {
     let half = [member(0, 5, Phase::Stored), member(1, 5, Phase::Unstored)];
@@ -69,12 +70,12 @@
 /// Its tasks are never in the list from which single tasks are started.
 #[test]
 fn no_task_of_a_gang_waits_by_itself() {
-    let spec = stonegw_wire::msg::JobSpec {
+    let spec = JobSpec {
         id: "run-1".into(),
         class: "class".into(),
         team: "team".into(),
-        kind: stonegw_wire::msg::JobKind::Gang,
-        priority: stonegw_wire::msg::Priority::Normal,
+        kind: JobKind::Gang,
+        priority: Priority::Normal,
         task_count: 3,
         cpus: 1.0,
         gpus: 0.0,
@@ -91,8 +92,8 @@
         checkpoint_duration_s: 0.0,
         deadline_s: None,
     };
-    let mut work = JobState::new(spec, 0);
-    work.requeue(1);
-    assert!(work.pending_tasks.is_empty());
-    assert!(work.is_gang_waiting());
+    let mut job = JobState::new(spec, 0);
+    job.requeue(1);
+    assert!(job.pending_tasks.is_empty());
+    assert!(job.is_gang_waiting());
 }
--- a/crates/control/src/scheduling/gang_reservation.rs
+++ b/crates/control/src/scheduling/gang_reservation.rs
@@ -6,8 +6,9 @@
 //! needs. A machine is reserved for one gang only and a gang reserves nothing or enough for all its
 //! tasks, so no two gangs each hold half of what both need.
 use super::gang_placement::{placement_policy, GangPlacer, PlacementPolicy};
-use super::preemption::{
-    Preemption, PreemptionOffer, PreemptionRequest, PreemptionScope, PreemptionSearch,
+use super::preemption::Preemption;
+use super::preemption_search::{
+    PreemptionOffer, PreemptionRequest, PreemptionScope, PreemptionSearch,
 };
 use super::reservations::GangReservation;
 use super::state::SchedulingState;
--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -181,13 +181,13 @@
         let estimates = &mut self.scheduling.estimates;
         let run_times = estimates.run_time_histogram(&job.spec, &self.machine_type.name);
         let end = QueuedTaskEnd::estimate(run_times, &start, due_s, precision);
-        let chance = end.on_time_probability;
+        let probability = end.on_time_probability;
         let is_dropped = self.is_toggle_on()
-            && chance < Pruner::drop_threshold(end.distribution.skewness(), position + 1);
+            && probability < Pruner::drop_threshold(end.distribution.skewness(), position + 1);
         if is_dropped || due_s <= 0.0 {
             let machine = &self.machine.id;
             log::info!(
-                "{job_id}/{index} leaves the queue of {machine}: on-time probability {chance:.2}"
+                "{job_id}/{index} leaves the queue of {machine}: on-time probability {probability:.2}"
             );
             let job = self.remove_from_queue(job_id, index);
             if is_dropped {
@@ -195,7 +195,7 @@
             }
             return false;
         }
-        self.on_time_average.add(chance);
+        self.on_time_average.add(probability);
         let distribution = end.distribution;
         self.forecast
             .add_task(&start, distribution, cpus, gpus, memory_gb);
--- /dev/null
+++ b/crates/control/src/scheduling/preemption_search.rs
@@ -0,0 +1,237 @@
+//! Which running tasks to stop for others, and what that costs.
+use crate::api::Millis;
+use crate::cluster::{ClusterState, JobState, Machine, Phase, Placement};
+use crate::context::LeaderContext;
+use crate::resources::Resources;
+use std::collections::HashMap;
+use stonegw_constants::{
+    GANG_RESTART_COST_MS, IMAGE_FETCH_WEIGHT, QUOTA_RECLAIM_MAX_LOSS_MS, RESOURCE_EPSILON,
+};
+use stonegw_wire::msg::JobKind;
+
+/// Capacity that is being cleared for jobs, by machine.
+pub type PreemptionClaims = HashMap<String, Resources>;
+
+/// Which tasks may be stopped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PreemptionScope {
+    /// Those of lower priority.
+    LowerPriority,
+    /// Also those that other teams run beyond their quotas.
+    QuotaReclaim,
+}
+
+/// What capacity is looked for.
+#[derive(Clone, Copy)]
+pub struct PreemptionRequest<'a> {
+    /// The job that needs it.
+    pub job: &'a JobState,
+    /// For how many of its tasks.
+    pub tasks: u32,
+    /// What may be stopped for them.
+    pub scope: PreemptionScope,
+}
+
+/// One task that has to be stopped; where it is a gang's, the whole gang.
+#[derive(Clone, Debug)]
+pub struct PreemptedTask {
+    /// Its job.
+    pub job: String,
+    /// Its attempt.
+    pub attempt: u64,
+}
+
+/// Capacity for one task on a machine, after those of the same machine with a lower order.
+#[derive(Debug)]
+pub struct PreemptionOffer {
+    /// The run time that is lost and the weighted wait for the image, ms.
+    pub cost_ms: u64,
+    /// Where.
+    pub machine: String,
+    /// The position of this offer among those of its machine.
+    pub machine_order: u32,
+    /// What has to be stopped for it.
+    pub victims: Vec<PreemptedTask>,
+}
+
+/// A task that may be stopped.
+struct Victim {
+    lost_run_ms: u64,
+    task: PreemptedTask,
+    resources: Resources,
+}
+
+/// Run time that is lost if a task is stopped now. A gang is stopped whole; it loses no more than
+/// a checkpoint takes where it can make one.
+fn lost_run_ms(now: Millis, placement: &Placement, job: &JobState) -> u64 {
+    let ran_ms = placement.running_at.map_or(0, |at| now.saturating_sub(at));
+    if job.gang.is_none() {
+        return ran_ms;
+    }
+    let lost_ms = if job.spec.checkpoint_interval_s > 0.0 {
+        ran_ms.min((job.spec.checkpoint_duration_s * 1e3) as u64)
+    } else {
+        ran_ms
+    };
+    (lost_ms + GANG_RESTART_COST_MS) * u64::from(job.spec.task_count)
+}
+
+/// What is free on a machine, and what is being stopped there.
+pub(super) fn free_or_stopping(cluster: &ClusterState, machine: &Machine) -> Option<Resources> {
+    let mut free = cluster.free_resources(machine)?;
+    for placement in &machine.placements {
+        if placement.is_present() && placement.stop_grace_s.is_some() {
+            free += placement.resources();
+        }
+    }
+    Some(free)
+}
+
+/// Looks for the tasks that are stopped at the least loss.
+pub(super) struct PreemptionSearch<'a> {
+    cluster: &'a ClusterState,
+    context: &'a LeaderContext<'a>,
+    request: PreemptionRequest<'a>,
+    /// Capacity that others wait for.
+    claims: &'a PreemptionClaims,
+    /// CPUs that each team keeps once what is being stopped has ended. Empty unless quotas are reclaimed.
+    remaining_team_cpus: HashMap<&'a str, f64>,
+}
+
+impl<'a> PreemptionSearch<'a> {
+    /// A search for what the request asks for, beside capacity that is claimed already.
+    pub(super) fn new(
+        cluster: &'a ClusterState,
+        context: &'a LeaderContext,
+        request: PreemptionRequest<'a>,
+        claims: &'a PreemptionClaims,
+    ) -> Self {
+        let remaining_team_cpus = match request.scope {
+            PreemptionScope::LowerPriority => HashMap::new(),
+            PreemptionScope::QuotaReclaim => remaining_team_cpus(cluster, context),
+        };
+        PreemptionSearch {
+            cluster,
+            context,
+            request,
+            claims,
+            remaining_team_cpus,
+        }
+    }
+
+    /// Capacity for up to the requested number of tasks on one machine, the cost growing from offer to
+    /// offer.
+    pub(super) fn offers_on(&self, machine: &Machine) -> Vec<PreemptionOffer> {
+        let Some(mut free) = free_or_stopping(self.cluster, machine) else {
+            return vec![];
+        };
+        free -= self.claims.get(&machine.id).copied().unwrap_or_default();
+        let spec = &self.request.job.spec;
+        let need = Resources::of_task(spec);
+        let mut victims = self.find_victims(machine).into_iter();
+        // An urgent task's wait for its image weighs more than the run time lost.
+        let image_fetch_s = self.cluster.image_fetch_s(machine, spec);
+        let mut cost_ms = (image_fetch_s * IMAGE_FETCH_WEIGHT * 1e3) as u64;
+        let mut offers = vec![];
+        for machine_order in 0..self.request.tasks {
+            let mut stopped = vec![];
+            while !free.has_capacity_for(&need) {
+                let Some(victim) = victims.next() else {
+                    return offers;
+                };
+                free += victim.resources;
+                cost_ms += victim.lost_run_ms + 1;
+                stopped.push(victim.task);
+            }
+            free -= need;
+            offers.push(PreemptionOffer {
+                cost_ms,
+                machine: machine.id.clone(),
+                machine_order,
+                victims: stopped,
+            });
+        }
+        offers
+    }
+
+    /// Tasks on a machine that may be stopped, those that lose least first.
+    fn find_victims(&self, machine: &Machine) -> Vec<Victim> {
+        let now = self.context.now.monotonic_ms;
+        let mut victims = vec![];
+        let mut stopped_team_cpus = HashMap::new();
+        for placement in &machine.placements {
+            let Some(job) = self.cluster.jobs.get(&placement.job) else {
+                continue;
+            };
+            let is_leaving =
+                placement.stop_grace_s.is_some() || placement.phase == Phase::Checkpointing;
+            if !placement.is_present() || is_leaving {
+                continue;
+            }
+            let is_excess = self.is_beyond_quota(placement, job, &mut stopped_team_cpus);
+            if job.spec.priority < self.request.job.spec.priority || is_excess {
+                victims.push(Victim {
+                    lost_run_ms: lost_run_ms(now, placement, job),
+                    task: PreemptedTask {
+                        job: placement.job.clone(),
+                        attempt: placement.attempt,
+                    },
+                    resources: placement.resources(),
+                });
+            }
+        }
+        victims.sort_by_key(|victim| victim.lost_run_ms);
+        victims
+    }
+
+    /// Whether another team runs this task beyond its quota and has not run it for long. `stopped_team_cpus`
+    /// counts what the search has looked at on the machine, by team.
+    fn is_beyond_quota<'b>(
+        &self,
+        placement: &Placement,
+        job: &'b JobState,
+        stopped_team_cpus: &mut HashMap<&'b str, f64>,
+    ) -> bool {
+        let loses_little = || {
+            let now = self.context.now.monotonic_ms;
+            let running_at = placement.running_at;
+            running_at.is_none_or(|at| now < at + QUOTA_RECLAIM_MAX_LOSS_MS)
+        };
+        if self.request.scope != PreemptionScope::QuotaReclaim
+            || job.spec.team == self.request.job.spec.team
+            || job.spec.kind != JobKind::Array
+            || !loses_little()
+        {
+            return false;
+        }
+        let Some(team) = self.context.settings.team(&job.spec.team) else {
+            return false;
+        };
+        let remaining_cpus = self.remaining_team_cpus.get(team.name.as_str());
+        let stopped_cpus = stopped_team_cpus.entry(&job.spec.team).or_insert(0.0);
+        *stopped_cpus += placement.cpus;
+        remaining_cpus.copied().unwrap_or(0.0) - *stopped_cpus >= team.quota_cpus - RESOURCE_EPSILON
+    }
+}
+
+/// CPUs that each team keeps, not counting what is being stopped.
+fn remaining_team_cpus<'a>(
+    cluster: &ClusterState,
+    context: &'a LeaderContext,
+) -> HashMap<&'a str, f64> {
+    let mut remaining = HashMap::new();
+    for team in &context.settings.teams {
+        let (cpus, _) = cluster.machines.team_usage(&team.name);
+        remaining.insert(team.name.as_str(), cpus);
+    }
+    for machine in cluster.machines.with_pending_commands() {
+        let placements = machine.placements.iter();
+        for placement in placements.filter(|placement| placement.is_present()) {
+            let team_cpus = remaining.get_mut(placement.team.as_str());
+            if let (Some(_), Some(cpus)) = (placement.stop_grace_s, team_cpus) {
+                *cpus -= placement.cpus;
+            }
+        }
+    }
+    remaining
+}
