--- a/crates/control/src/scheduling/aging.rs
+++ b/crates/control/src/scheduling/aging.rs
@@ -156,23 +156,21 @@
         let Some(job) = self.cluster.jobs.get(job_id) else {
             return false;
         };
-        let index = job
-            .next_unpruned()
-            .or_else(|| job.pending_tasks.first().copied());
-        let Some(index) = index.filter(|_| job.starved_tasks > 0) else {
-            return false;
-        };
-        if job.start_limit(context.now.monotonic_ms) == 0 {
+        if job.starved_tasks == 0 || job.start_limit(context.now.monotonic_ms) == 0 {
             return false;
         }
+        let first_pending = || job.pending_tasks.first().copied();
+        let Some(index) = job.next_unpruned().or_else(first_pending) else {
+            return false;
+        };
         if !self.cluster.within_limit(context, &job.spec) {
             let reservation = AgingReservation::TeamLimit(job.spec.team.clone());
             self.reserve(job_id, reservation);
             return false;
         }
-        let usable = self.usable_machines(context, job);
-        let fitting = usable.filter(|machine| self.cluster.has_capacity(machine, &job.spec));
-        let best = fitting.min_by_key(|machine| self.cluster.first_fit_key(machine, &job.spec));
+        let has_capacity = |machine: &Machine| self.cluster.has_capacity(machine, &job.spec);
+        let usable = self.usable_machines(context, job, has_capacity);
+        let best = usable.min_by_key(|machine| self.cluster.first_fit_key(machine, &job.spec));
         if let Some(machine) = best.map(|machine| machine.id.clone()) {
             return self.cluster.place_task(&machine, job_id, index);
         }
@@ -180,16 +178,18 @@
         false
     }
 
-    /// Machines on which the job's tasks may be placed and that are not reserved for another.
+    /// Machines that fit, on which the job's tasks may be placed and that are not reserved for another.
     fn usable_machines<'b>(
         &'b self,
         context: &'b LeaderContext,
         job: &'b JobState,
+        fits: impl Fn(&Machine) -> bool + 'b,
     ) -> impl Iterator<Item = &'b Machine> {
         let reservations = &self.scheduling.reservations;
         let machines = self.cluster.machines.values();
         machines.filter(move |machine| {
-            self.cluster.is_eligible(context, machine, job)
+            fits(machine)
+                && self.cluster.is_eligible(context, machine, job)
                 && !reservations.is_reserved_for_other(
                     &self.cluster.jobs,
                     &machine.id,
@@ -227,12 +227,11 @@
     /// The machine where least has to end for a task of the job to fit.
     fn machine_to_reserve(&self, context: &LeaderContext, job: &JobState) -> Option<String> {
         let need = Resources::of_task(&job.spec);
-        let is_large_enough = |machine: &&Machine| {
+        let is_large_enough = |machine: &Machine| {
             let machine_type = self.cluster.machine_type(&machine.machine_type);
             machine_type.is_some_and(|found| Resources::of_type(found).has_capacity_for(&need))
         };
-        self.usable_machines(context, job)
-            .filter(is_large_enough)
+        self.usable_machines(context, job, is_large_enough)
             .min_by_key(|machine| self.clearing_cost(machine))
             .map(|machine| machine.id.clone())
     }
--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -159,10 +159,13 @@
     /// Adds the queued tasks and returns those that stay queued.
     fn add_queued(&mut self) -> Vec<(String, u32)> {
         let machine = self.machine;
-        let queued = machine.queued.iter().enumerate();
-        let staying =
-            queued.filter(|(position, (job, index))| self.add_queued_task(*position, job, *index));
-        staying.map(|(_, task)| task.clone()).collect()
+        let mut staying = vec![];
+        for (position, (job, index)) in machine.queued.iter().enumerate() {
+            if self.add_queued_task(position, job, *index) {
+                staying.push((job.clone(), *index));
+            }
+        }
+        staying
     }
 
     /// Adds a queued task. False: it leaves the queue, for it can't start in time, its deadline has
