--- a/crates/constants/src/constants.rs
+++ b/crates/constants/src/constants.rs
@@ -125,7 +125,7 @@
 /// share the rest. Users ask all nodes alike, and each answer needs a read; of the changes most
 /// are placements.
 pub const LEADER_READ_FRACTION: f64 = 0.45;
-/// The leader's share of the changes, 0 to 1; see [`LEADER_READS`].
+/// The leader's share of the changes, 0 to 1; see [`LEADER_READ_FRACTION`].
 pub const LEADER_WRITE_FRACTION: f64 = 0.7;
 /// ms between the end of a follower's watch and the next: changes that come together are told
 /// together. The leader asks again at once, since work waits for it.
@@ -163,9 +163,9 @@
 pub const MACHINE_GROUP_OVERHEAD_BYTES: usize = 300;
 /// Bytes of JSON for one machine, one job, one task in it, on the safe side.
 pub const MACHINE_GROUP_BYTES_PER_MACHINE: usize = 90;
-/// Bytes of JSON for one job in such a record; see [`SHARD_MACHINE_BYTES`].
+/// Bytes of JSON for one job in such a record; see [`MACHINE_GROUP_BYTES_PER_MACHINE`].
 pub const MACHINE_GROUP_BYTES_PER_JOB: usize = 70;
-/// Bytes of JSON for one task in such a record; see [`SHARD_MACHINE_BYTES`].
+/// Bytes of JSON for one task in such a record; see [`MACHINE_GROUP_BYTES_PER_MACHINE`].
 pub const MACHINE_GROUP_BYTES_PER_TASK: usize = 34;
 /// ms that results of a job wait, so that one write holds several. The worker shows them until
 /// they are stored; a job's last result does not wait.
@@ -349,7 +349,7 @@
 /// Tasks for which room is reclaimed in one mapping at most, or as many as this part of the
 /// fleet's machines if that is more.
 pub const QUOTA_RECLAIM_MIN_TASKS: usize = 12;
-/// The divisor of the fleet's machines in that limit; see [`GUARANTEE_STEP`].
+/// The divisor of the fleet's machines in that limit; see [`QUOTA_RECLAIM_MIN_TASKS`].
 pub const QUOTA_RECLAIM_MACHINES_DIVISOR: usize = 8;
 /// ms that an urgent task waits for the room that lesser work is leaving for it, before other
 /// room is made: a stop takes a report or a direct command, and saving some seconds.
@@ -385,7 +385,7 @@
 /// ms for which room is reserved for a gang at most, and the pause after: smaller work must not wait
 /// 90 s beside room that is kept.
 pub const GANG_RESERVATION_MAX_MS: u64 = 45_000;
-/// ms from the end of a reservation to the next; see [`GANG_RESERVED_MAX_MS`].
+/// ms from the end of a reservation to the next; see [`GANG_RESERVATION_MAX_MS`].
 pub const GANG_RESERVATION_PAUSE_MS: u64 = 15_000;
 /// ms for which urgent work leaves room alone that is reserved for a gang: as long as it takes to
 /// push lesser work aside elsewhere.
@@ -433,7 +433,7 @@
 /// Most machines rented in one decision of one kind, or this part of the fleet if that is more:
 /// keeps a wrong estimate cheap.
 pub const SCALE_OUT_STEP_MIN: u32 = 8;
-/// The divisor of the fleet in that limit; see [`HIRE_STEP`].
+/// The divisor of the fleet in that limit; see [`SCALE_OUT_STEP_MIN`].
 pub const SCALE_OUT_STEP_DIVISOR: u32 = 2;
 /// Part of the time left to a deadline that the fleet is sized for; the remainder covers late
 /// starts and wrong estimates.
--- a/crates/control/tests/production.rs
+++ b/crates/control/tests/production.rs
@@ -5,7 +5,7 @@
 #[path = "fixtures/records.rs"]
 mod records;
 #[path = "../../wire/tests/fixtures/values.rs"]
-#[allow(dead_code)]
+#[allow(dead_code, reason = "the fixtures also serve other tests")]
 mod values;
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/production");
--- a/crates/net/src/event_loop/client.rs
+++ b/crates/net/src/event_loop/client.rs
@@ -13,7 +13,7 @@
     ///
     /// `vital`: to the state service or the cloud, which calls to workers must never keep from a
     /// socket.
-    #[allow(clippy::too_many_arguments)]
+    #[allow(clippy::too_many_arguments, reason = "a call has this many parts")]
     pub fn start_call(
         &mut self,
         call: u64,
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -63,8 +63,14 @@
         let clients = open_listener(client_listen)?;
         let peers = open_listener(peer_listen)?;
         for (listener, key) in [(&clients, CLIENT_LISTENER_KEY), (&peers, PEER_LISTENER_KEY)] {
-            // Safe: the listeners live as long as the poller.
-            unsafe { poller.add_with_mode(listener, Event::readable(key), PollMode::Level)? };
+            #[allow(
+                unsafe_code,
+                reason = "the poller takes raw sockets whose owner must outlive them"
+            )]
+            // SAFETY: the event loop owns the listeners together with the poller.
+            unsafe {
+                poller.add_with_mode(listener, Event::readable(key), PollMode::Level)?
+            };
         }
         let peer_links = peer_addrs.iter().map(|_| Err(0)).collect();
         Ok(EventLoop {
--- a/crates/net/src/event_loop/registry.rs
+++ b/crates/net/src/event_loop/registry.rs
@@ -20,7 +20,11 @@
         let key = self.next_key;
         self.next_key += 1;
         let interest = poll_interest(key, c.is_connecting);
-        // Safe: `close` takes the stream out of the poller before it is dropped.
+        #[allow(
+            unsafe_code,
+            reason = "the poller takes raw sockets whose owner must outlive them"
+        )]
+        // SAFETY: `close_connection` deletes the stream from the poller before it is dropped.
         let added = unsafe {
             self.poller
                 .add_with_mode(&c.stream, interest, PollMode::Level)
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -16,7 +16,7 @@
 pub struct Header {
     /// Always [`MAGIC`].
     pub magic: U32,
-    /// Always [`VERSION`].
+    /// Always [`FRAME_VERSION`].
     pub version: U16,
     /// The kind of frame.
     pub kind: U16,
