--- a/crates/control/src/node/feature_gate.rs
+++ b/crates/control/src/node/feature_gate.rs
@@ -249,7 +249,9 @@
     pub(super) fn handle_version_records(&mut self, result: CallResult) {
         let next_round = self.next_version_scan_at();
         let page = match result {
-            Ok((200, body)) => decode::<ListPage<StoredVersionRecord>>(&body),
+            Ok((200, body)) => {
+                decode::<ListPage<StoredVersionRecord>>(&body).map_err(|e| e.to_string())
+            }
             other => Err(describe_result(&other)),
         };
         match page {
--- a/crates/control/src/node/relay.rs
+++ b/crates/control/src/node/relay.rs
@@ -11,7 +11,7 @@
     pub(super) fn handle_heartbeat(&mut self, id: u64, body: Vec<u8>) {
         let report: Heartbeat = match decode(&body) {
             Ok(r) => r,
-            Err(why) => return self.outbox.reply_error(id, 400, None, &why),
+            Err(why) => return self.outbox.reply_error(id, 400, None, &why.to_string()),
         };
         if self.is_isolated() {
             return self.handle_heartbeat_isolated(id, report);
@@ -318,7 +318,12 @@
                         Some(orders) => (200, encode(&orders)),
                         None => (503, vec![]),
                     },
-                    Err(why) => (400, encode(&ErrorBody { error: why })),
+                    Err(why) => (
+                        400,
+                        encode(&ErrorBody {
+                            error: why.to_string(),
+                        }),
+                    ),
                 };
                 self.outbox.actions.push(Action::SendFrame {
                     to: from,
--- a/crates/control/src/node/routes.rs
+++ b/crates/control/src/node/routes.rs
@@ -44,7 +44,7 @@
                 method == "POST",
                 Some(match JobSpec::parse(&request.body) {
                     Ok(spec) => Ok(UserRequest::Submit(Box::new(spec))),
-                    Err(why) => Err((400, why)),
+                    Err(why) => Err((400, why.to_string())),
                 }),
             ),
             ["submissions", job] => (
--- a/crates/net/src/event_loop/client.rs
+++ b/crates/net/src/event_loop/client.rs
@@ -7,6 +7,7 @@
     IDLE_CLIENT_CONNECTION_TIMEOUT_MS, MAX_RESPONSE_BYTES, RESERVED_SERVICE_SOCKETS,
 };
 use stonegw_wire::http::{self, HttpError};
+use stonegw_wire::Parsed;
 
 impl EventLoop {
     /// Starts call `call`, which fails if it has no answer after `wait` ms.
@@ -94,9 +95,12 @@
             return self.close_connection(key);
         };
         match http::parse_response(&c.input, MAX_RESPONSE_BYTES) {
-            Ok(Some((response, taken))) => {
+            Ok(Some(Parsed {
+                message: response,
+                consumed_bytes,
+            })) => {
                 let keep = !response.connection_close
-                    && taken == c.input.len()
+                    && consumed_bytes == c.input.len()
                     && got == ReadOutcome::Open;
                 c.input = vec![];
                 *call = None;
@@ -127,7 +131,7 @@
                 self.close_connection(key);
             }
             Err(e) => {
-                log::warn!("{addr} answered with a malformed head: {e:?}");
+                log::warn!("{addr} answered with a malformed head: {e}");
                 self.close_connection(key);
             }
         }
--- a/crates/net/src/event_loop/peer.rs
+++ b/crates/net/src/event_loop/peer.rs
@@ -8,6 +8,7 @@
     REQUEST_READ_TIMEOUT_MS,
 };
 use stonegw_wire::frame::Frame;
+use stonegw_wire::Parsed;
 
 impl EventLoop {
     /// Queues a frame for a peer; without a connection the frame is dropped.
@@ -40,15 +41,18 @@
                 return;
             };
             match Frame::parse(&c.input) {
-                Ok(Some((frame, taken))) => {
-                    c.input.drain(..taken);
+                Ok(Some(Parsed {
+                    message: frame,
+                    consumed_bytes,
+                })) => {
+                    c.input.drain(..consumed_bytes);
                     c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
                     self.pending_events
                         .push(NetworkEvent::Frame { link: from, frame });
                 }
                 Ok(None) => break,
                 Err(e) => {
-                    log::warn!("bad frame from {from:?}: {e:?}");
+                    log::warn!("invalid frame from {from:?}: {e}");
                     return self.close_connection(key);
                 }
             }
--- a/crates/net/src/event_loop/server.rs
+++ b/crates/net/src/event_loop/server.rs
@@ -8,6 +8,7 @@
 };
 use stonegw_wire::http::{self, HttpError, Request};
 use stonegw_wire::msg::{encode, ErrorBody};
+use stonegw_wire::Parsed;
 
 impl EventLoop {
     /// Answers request `id`; `retry_after_s` in seconds.
@@ -58,8 +59,11 @@
                 // From its first byte a request has so long to arrive.
                 c.deadline = c.deadline.min(now + REQUEST_READ_TIMEOUT_MS);
             }
-            Ok(Some((request, taken))) => {
-                c.input.drain(..taken);
+            Ok(Some(Parsed {
+                message: request,
+                consumed_bytes,
+            })) => {
+                c.input.drain(..consumed_bytes);
                 *busy = true;
                 *close = request.connection_close;
                 c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
@@ -95,7 +99,7 @@
             return;
         };
         let body = encode(&ErrorBody {
-            error: format!("{e:?}"),
+            error: e.to_string(),
         });
         c.input.clear();
         c.kind = ConnectionKind::Server {
--- a/crates/testkit/mixed/any_node.rs
+++ b/crates/testkit/mixed/any_node.rs
@@ -121,7 +121,7 @@
     let mut bytes = vec![];
     frame.write(&mut bytes);
     let parsed = Frame::parse(&bytes);
-    parsed.expect("the new version reads it").expect("whole").0
+    parsed.expect("the new version reads it").expect("whole").message
 }
 
 fn old_link(link: new::api::Link) -> old_control::api::Link {
--- a/crates/testkit/src/stand_ins/cloud.rs
+++ b/crates/testkit/src/stand_ins/cloud.rs
@@ -67,7 +67,7 @@
                 });
                 (200, vec![0x80])
             }
-            Err(e) => error_response(400, &e),
+            Err(e) => error_response(400, &e.to_string()),
         }
     }
 
@@ -94,7 +94,7 @@
     fn provision_machines(&mut self, now: Ms, body: &[u8]) -> Response {
         let hire = match decode::<ProvisionRequest>(body) {
             Ok(h) => h,
-            Err(e) => return error_response(400, &e),
+            Err(e) => return error_response(400, &e.to_string()),
         };
         if let Some(machines) = self.machines_by_request.get(&hire.request_id).cloned() {
             return (
--- a/crates/testkit/src/stand_ins/store.rs
+++ b/crates/testkit/src/stand_ins/store.rs
@@ -193,7 +193,7 @@
     fn grant_lease(&mut self, now: Ms, body: &[u8]) -> Response {
         let ttl = match decode::<LeaseRequest>(body) {
             Ok(r) => r.ttl_ms,
-            Err(e) => return error_response(400, &e),
+            Err(e) => return error_response(400, &e.to_string()),
         };
         self.next_lease_id += 1;
         let lease = self.next_lease_id;
@@ -219,7 +219,7 @@
     fn apply_transaction(&mut self, now: Ms, body: &[u8]) -> Response {
         let txn: Txn<Value> = match decode(body) {
             Ok(t) => t,
-            Err(e) => return error_response(400, &e),
+            Err(e) => return error_response(400, &e.to_string()),
         };
         if !self.limits.allows(&txn) {
             return error_response(400, "too large");
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,13 +1,15 @@
 //! Frames between controllers: a fixed header, a fixed body per kind, then raw bytes where the
 //! kind carries any. All numbers are little-endian.
+use crate::Parsed;
+use thiserror::Error;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// First field of each header.
+/// First field of each header; marks the start of a frame.
 pub const MAGIC: u32 = 0x5747_5453;
 /// Version of the frame format.
 pub const FRAME_VERSION: u16 = 2;
-/// Bytes after the header at most: a report or its answer and some.
+/// Bytes after the header at most: room for a heartbeat or its reply, which HTTP bounds at 64 KiB.
 pub const MAX_FRAME_BODY_BYTES: usize = 96 * 1024;
 
 /// The head of each frame.
@@ -27,27 +29,29 @@
 /// Bytes of a header.
 pub const HEADER_BYTES: usize = size_of::<Header>();
 
-/// Sent on connecting and every second: who speaks, the highest term known, how it is. Each is
-/// answered over the same link by another, after all that `revision` shows to be missing: so an
-/// answer tells that its sender knew of no other cancellation at the time `asked`.
+/// Sent on connecting and as a ping every second: the sender's name, the highest term it knows and
+/// its status. The receiver first sends the cancellations that the sender lacks according to
+/// `jobs_revision`, then its own `Hello` as the reply. So a reply shows that its sender knew of no
+/// further cancellation at `ping_sent_at`.
 #[derive(
     FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy, Debug, PartialEq,
 )]
 #[repr(C)]
 pub struct Hello {
-    /// The highest term that the speaker knows.
+    /// The highest term that the sender knows.
     pub term: U64,
-    /// Tells this process from earlier ones of the same name.
+    /// Random number that distinguishes this process from earlier ones of the same name.
     pub process_nonce: U64,
-    /// The asker's steady clock, ms; an answer gives it back. 0 where nothing is asked.
+    /// When the ping was sent, in ms of the pinging node's monotonic clock; the reply repeats it. 0: no
+    /// reply is wanted.
     pub ping_sent_at: U64,
-    /// The revision up to which the speaker has all changes of the jobs.
+    /// The revision up to which the sender has all changes of the jobs.
     pub jobs_revision: U64,
-    /// 1 if the speaker leads, else 0.
+    /// 1 if the sender is the leader, else 0.
     pub is_leader: u8,
-    /// 1 if the speaker reaches the state service, else 0.
+    /// 1 if the sender reaches the key-value store, else 0.
     pub is_store_reachable: u8,
-    /// The speaker's name, padded with zero bytes.
+    /// The sender's name, padded with zero bytes.
     pub node_name: [u8; 30],
 }
 
@@ -59,23 +63,23 @@
 pub struct Cancellation {
     /// The job id, padded with zero bytes.
     pub job_id: [u8; 24],
-    /// The stamp under which it is stored.
+    /// The revision at which it was stored.
     pub revision: U64,
 }
 
-/// Head of a relayed report or its answer; the message body follows.
+/// Head of a relayed heartbeat or its reply; the message body follows.
 #[derive(
     FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy, Debug, PartialEq,
 )]
 #[repr(C)]
 pub struct RelayHeader {
-    /// Number of the relayed request, chosen by the asker.
+    /// Number of the relayed request, chosen by the relaying node.
     pub request_id: U64,
-    /// HTTP status of an answer; 0 in a report.
+    /// HTTP status of a reply; 0 in a heartbeat.
     pub status: U16,
 }
 
-/// Counts for display of one job; a frame carries any number of these.
+/// Task counts of one job, for display; a frame carries any number of these.
 #[derive(
     FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy, Debug, PartialEq,
 )]
@@ -92,40 +96,44 @@
 /// One message between controllers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// Greeting, ping and its answer.
+    /// Greeting, ping and the reply to a ping.
     Hello(Hello),
-    /// A worker's report, relayed to the leader.
+    /// A worker's heartbeat, relayed to the leader.
     Heartbeat {
-        /// Number of the request, which the answer repeats.
+        /// Number of the request, which the reply repeats.
         request_id: u64,
-        /// The encoded report.
+        /// The encoded heartbeat.
         body: Vec<u8>,
     },
-    /// The leader's answer to a relayed report.
+    /// The leader's reply to a relayed heartbeat.
     HeartbeatReply {
-        /// Number of the request that is answered.
+        /// Number of the request that this replies to.
         request_id: u64,
         /// HTTP status.
         status: u16,
-        /// The encoded answer.
+        /// The encoded reply.
         body: Vec<u8>,
     },
-    /// Counts for display.
+    /// Task counts, for display.
     TaskCounts(Vec<TaskCounts>),
     /// Stored cancellations.
     Cancellations(Vec<Cancellation>),
 }
 
-/// Why bytes are no frame.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why bytes are not a frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The magic number is wrong.
+    #[error("wrong magic number")]
     WrongMagic,
-    /// The version is another one.
+    /// The version is not [`FRAME_VERSION`].
+    #[error("unsupported frame version")]
     UnsupportedVersion,
     /// The length is above the limit or does not fit the kind.
+    #[error("invalid body length")]
     InvalidLength,
     /// The kind is unknown.
+    #[error("unknown kind of frame")]
     UnknownKind,
 }
 
@@ -135,127 +143,151 @@
 const KIND_TASK_COUNTS: u16 = 4;
 const KIND_CANCELLATIONS: u16 = 5;
 
-/// A text as fixed-size field: cut to `N` bytes or padded with zero bytes.
+/// A text as a fixed-size field: cut to `N` bytes or padded with zero bytes.
 pub fn to_padded_text<const N: usize>(text: &str) -> [u8; N] {
-    let mut out = [0; N];
-    let n = text.len().min(N);
-    out[..n].copy_from_slice(&text.as_bytes()[..n]);
-    out
+    let mut field = [0; N];
+    let length = text.len().min(N);
+    field[..length].copy_from_slice(&text.as_bytes()[..length]);
+    field
 }
 
 /// The text of a fixed-size field; empty if it is not UTF-8.
-pub fn from_padded_text(name: &[u8]) -> &str {
-    let end = name.iter().position(|b| *b == 0).unwrap_or(name.len());
-    std::str::from_utf8(&name[..end]).unwrap_or("")
+pub fn from_padded_text(field: &[u8]) -> &str {
+    let end = field
+        .iter()
+        .position(|byte| *byte == 0)
+        .unwrap_or(field.len());
+    std::str::from_utf8(&field[..end]).unwrap_or("")
 }
 
 impl Frame {
-    /// Appends the encoded frame to `out`.
-    pub fn write(&self, out: &mut Vec<u8>) {
-        let at = out.len();
-        out.resize(at + HEADER_BYTES, 0);
-        let kind = match self {
-            Frame::Hello(h) => {
-                out.extend_from_slice(h.as_bytes());
-                KIND_HELLO
-            }
-            Frame::Heartbeat {
-                request_id: request,
-                body,
-            } => {
-                let head = RelayHeader {
-                    request_id: (*request).into(),
-                    status: 0.into(),
-                };
-                out.extend_from_slice(head.as_bytes());
-                out.extend_from_slice(body);
-                KIND_HEARTBEAT
+    /// Appends the encoded frame to `buffer`.
+    pub fn write(&self, buffer: &mut Vec<u8>) {
+        let start = buffer.len();
+        buffer.resize(start + HEADER_BYTES, 0);
+        self.write_body(buffer);
+        let body_bytes = buffer.len() - start - HEADER_BYTES;
+        let header = Header {
+            magic: MAGIC.into(),
+            version: FRAME_VERSION.into(),
+            kind: self.kind().into(),
+            body_len: (body_bytes as u32).into(),
+        };
+        buffer[start..start + HEADER_BYTES].copy_from_slice(header.as_bytes());
+    }
+
+    fn kind(&self) -> u16 {
+        match self {
+            Frame::Hello(_) => KIND_HELLO,
+            Frame::Heartbeat { .. } => KIND_HEARTBEAT,
+            Frame::HeartbeatReply { .. } => KIND_HEARTBEAT_REPLY,
+            Frame::TaskCounts(_) => KIND_TASK_COUNTS,
+            Frame::Cancellations(_) => KIND_CANCELLATIONS,
+        }
+    }
+
+    fn write_body(&self, buffer: &mut Vec<u8>) {
+        match self {
+            Frame::Hello(hello) => buffer.extend_from_slice(hello.as_bytes()),
+            Frame::Heartbeat { request_id, body } => {
+                write_relayed_body(buffer, *request_id, 0, body);
             }
             Frame::HeartbeatReply {
-                request_id: request,
+                request_id,
                 status,
                 body,
-            } => {
-                let head = RelayHeader {
-                    request_id: (*request).into(),
-                    status: (*status).into(),
-                };
-                out.extend_from_slice(head.as_bytes());
-                out.extend_from_slice(body);
-                KIND_HEARTBEAT_REPLY
+            } => write_relayed_body(buffer, *request_id, *status, body),
+            Frame::TaskCounts(counts) => buffer.extend_from_slice(counts.as_bytes()),
+            Frame::Cancellations(cancellations) => {
+                buffer.extend_from_slice(cancellations.as_bytes());
             }
-            Frame::TaskCounts(list) => {
-                out.extend_from_slice(list.as_bytes());
-                KIND_TASK_COUNTS
-            }
-            Frame::Cancellations(list) => {
-                out.extend_from_slice(list.as_bytes());
-                KIND_CANCELLATIONS
-            }
-        };
-        let head = Header {
-            magic: MAGIC.into(),
-            version: FRAME_VERSION.into(),
-            kind: kind.into(),
-            body_len: ((out.len() - at - HEADER_BYTES) as u32).into(),
-        };
-        out[at..at + HEADER_BYTES].copy_from_slice(head.as_bytes());
+        }
     }
 
-    /// Returns the frame and how many bytes it took, or `None` until it is whole.
-    pub fn parse(buf: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
-        let Ok((head, rest)) = Header::ref_from_prefix(buf) else {
+    /// Parses the frame at the start of the buffer; `None`: more bytes are needed.
+    ///
+    /// # Errors
+    ///
+    /// Why the bytes are not a frame. The link cannot be used further.
+    pub fn parse(buffer: &[u8]) -> Result<Option<Parsed<Frame>>, FrameError> {
+        let Ok((header, rest)) = Header::ref_from_prefix(buffer) else {
+            return Ok(None);
+        };
+        header.validate()?;
+        let body_bytes = header.body_len.get() as usize;
+        let Some(body) = rest.get(..body_bytes) else {
             return Ok(None);
         };
-        if head.magic.get() != MAGIC {
+        Ok(Some(Parsed {
+            message: parse_body(header.kind.get(), body)?,
+            consumed_bytes: HEADER_BYTES + body_bytes,
+        }))
+    }
+}
+
+impl Header {
+    fn validate(&self) -> Result<(), FrameError> {
+        if self.magic.get() != MAGIC {
             return Err(FrameError::WrongMagic);
         }
-        if head.version.get() != FRAME_VERSION {
+        if self.version.get() != FRAME_VERSION {
             return Err(FrameError::UnsupportedVersion);
         }
-        let len = head.body_len.get() as usize;
-        if len > MAX_FRAME_BODY_BYTES {
+        if self.body_len.get() as usize > MAX_FRAME_BODY_BYTES {
             return Err(FrameError::InvalidLength);
         }
-        if !(KIND_HELLO..=KIND_CANCELLATIONS).contains(&head.kind.get()) {
+        if !(KIND_HELLO..=KIND_CANCELLATIONS).contains(&self.kind.get()) {
             return Err(FrameError::UnknownKind);
         }
-        if rest.len() < len {
-            return Ok(None);
+        Ok(())
+    }
+}
+
+fn write_relayed_body(buffer: &mut Vec<u8>, request_id: u64, status: u16, body: &[u8]) {
+    let header = RelayHeader {
+        request_id: request_id.into(),
+        status: status.into(),
+    };
+    buffer.extend_from_slice(header.as_bytes());
+    buffer.extend_from_slice(body);
+}
+
+fn parse_body(kind: u16, body: &[u8]) -> Result<Frame, FrameError> {
+    match kind {
+        KIND_HELLO => Hello::read_from_bytes(body)
+            .map(Frame::Hello)
+            .map_err(|_| FrameError::InvalidLength),
+        KIND_HEARTBEAT => {
+            let (header, message) = parse_relay_header(body)?;
+            Ok(Frame::Heartbeat {
+                request_id: header.request_id.get(),
+                body: message.to_vec(),
+            })
         }
-        let body = &rest[..len];
-        let frame = match head.kind.get() {
-            KIND_HELLO => {
-                Frame::Hello(Hello::read_from_bytes(body).map_err(|_| FrameError::InvalidLength)?)
-            }
-            KIND_TASK_COUNTS => {
-                let list =
-                    <[TaskCounts]>::ref_from_bytes(body).map_err(|_| FrameError::InvalidLength)?;
-                Frame::TaskCounts(list.to_vec())
-            }
-            KIND_CANCELLATIONS => {
-                let list = <[Cancellation]>::ref_from_bytes(body)
-                    .map_err(|_| FrameError::InvalidLength)?;
-                Frame::Cancellations(list.to_vec())
-            }
-            kind => {
-                let (r, body) =
-                    RelayHeader::ref_from_prefix(body).map_err(|_| FrameError::InvalidLength)?;
-                let (request, body) = (r.request_id.get(), body.to_vec());
-                if kind == KIND_HEARTBEAT {
-                    Frame::Heartbeat {
-                        request_id: request,
-                        body,
-                    }
-                } else {
-                    Frame::HeartbeatReply {
-                        request_id: request,
-                        status: r.status.get(),
-                        body,
-                    }
-                }
-            }
-        };
-        Ok(Some((frame, HEADER_BYTES + len)))
+        KIND_HEARTBEAT_REPLY => {
+            let (header, message) = parse_relay_header(body)?;
+            Ok(Frame::HeartbeatReply {
+                request_id: header.request_id.get(),
+                status: header.status.get(),
+                body: message.to_vec(),
+            })
+        }
+        KIND_TASK_COUNTS => parse_records(body).map(Frame::TaskCounts),
+        KIND_CANCELLATIONS => parse_records(body).map(Frame::Cancellations),
+        _ => Err(FrameError::UnknownKind),
     }
 }
+
+fn parse_relay_header(body: &[u8]) -> Result<(&RelayHeader, &[u8]), FrameError> {
+    RelayHeader::ref_from_prefix(body).map_err(|_| FrameError::InvalidLength)
+}
+
+/// A body that is a sequence of records of one size.
+fn parse_records<T>(body: &[u8]) -> Result<Vec<T>, FrameError>
+where
+    T: FromBytes + KnownLayout + Immutable + Unaligned + Clone,
+{
+    <[T]>::ref_from_bytes(body)
+        .map(<[T]>::to_vec)
+        .map_err(|_| FrameError::InvalidLength)
+}
--- a/crates/wire/src/msg/error.rs
+++ b/crates/wire/src/msg/error.rs
@@ -1,7 +1,7 @@
-//! The body of every error answer.
+//! The body of every error response.
 use serde::{Deserialize, Serialize};
 
-/// The body of an error answer.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// What is wrong, for people.
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,5 @@
 use stonegw_wire::frame::*;
+use stonegw_wire::Parsed;
 
 fn sample_frames() -> Vec<Frame> {
     let counts = TaskCounts {
@@ -39,7 +40,11 @@
     for frame in sample_frames() {
         let mut raw = Vec::new();
         frame.write(&mut raw);
-        assert_eq!(Frame::parse(&raw), Ok(Some((frame, raw.len()))));
+        let whole = Parsed {
+            message: frame,
+            consumed_bytes: raw.len(),
+        };
+        assert_eq!(Frame::parse(&raw), Ok(Some(whole)));
         for cut in 0..raw.len() {
             assert_eq!(Frame::parse(&raw[..cut]), Ok(None), "cut at {cut}");
         }
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -6,8 +6,8 @@
     let mut raw = Vec::new();
     write_request(&mut raw, "POST", "h:1", "/submissions", b"\x81\xa1a\x01");
     let whole = parse_request(&raw, 100).unwrap().unwrap();
-    assert_eq!(whole.1, raw.len());
-    assert_eq!(whole.0.body, b"\x81\xa1a\x01");
+    assert_eq!(whole.consumed_bytes, raw.len());
+    assert_eq!(whole.message.body, b"\x81\xa1a\x01");
     for cut in 0..raw.len() {
         assert_eq!(parse_request(&raw[..cut], 100), Ok(None), "cut at {cut}");
     }
@@ -17,9 +17,15 @@
 fn a_response_split_at_every_byte_parses_the_same() {
     let mut raw = Vec::new();
     write_response(&mut raw, 503, Some(2), true, b"abc");
-    let (r, n) = parse_response(&raw, 100).unwrap().unwrap();
+    let whole = parse_response(&raw, 100).unwrap().unwrap();
+    let response = whole.message;
     assert_eq!(
-        (r.status, r.connection_close, r.body.as_slice(), n),
+        (
+            response.status,
+            response.connection_close,
+            response.body.as_slice(),
+            whole.consumed_bytes
+        ),
         (503, true, &b"abc"[..], raw.len())
     );
     for cut in 0..raw.len() {
@@ -64,3 +70,18 @@
     }
     assert!(parse_request(b"\xff\xfe / HTTP/1.1\r\n\r\n", 9).is_err());
 }
+
+/// Clients see these texts in the bodies of error responses.
+#[test]
+fn the_texts_of_errors_stay() {
+    let texts = [
+        (HttpError::Malformed, "Malformed"),
+        (HttpError::HeadTooLarge, "HeadTooLarge"),
+        (HttpError::BodyTooLarge, "BodyTooLarge"),
+        (HttpError::UnsupportedTransferEncoding, "Encoding"),
+        (HttpError::LengthRequired, "NoLength"),
+    ];
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
+    }
+}
--- a/crates/wire/tests/msg.rs
+++ b/crates/wire/tests/msg.rs
@@ -44,7 +44,7 @@
     for (field, spoil) in bad {
         let mut s = sample_job_spec();
         spoil(&mut s);
-        let err = JobSpec::parse(&encode(&s)).unwrap_err();
+        let err = JobSpec::parse(&encode(&s)).unwrap_err().to_string();
         assert!(err.starts_with(field), "{field}: {err}");
     }
     let mut cut = encode(&sample_job_spec());
@@ -53,3 +53,33 @@
     assert!(JobSpec::parse(&[0x93, 1, 2, 3]).is_err());
     assert!(JobSpec::parse(b"").is_err());
 }
+
+/// Users see these texts in the bodies of 400 responses.
+#[test]
+fn the_texts_of_refusals_stay() {
+    let refusal = |spoil: fn(&mut JobSpec)| {
+        let mut spec = sample_job_spec();
+        spoil(&mut spec);
+        JobSpec::parse(&encode(&spec)).unwrap_err().to_string()
+    };
+    let refusals = [
+        refusal(|spec| spec.id.clear()),
+        refusal(|spec| spec.class.clear()),
+        refusal(|spec| spec.task_count = 0),
+        refusal(|spec| spec.gpus = 2e9),
+        refusal(|spec| spec.machine_types = Some(vec!["m".into(); 65])),
+    ];
+    let texts = [
+        "uid: must be run- and digits",
+        "lane: must be 1 to 200 bytes",
+        "pieces: must be 1 to 100000",
+        "cards: must be a number from 0 to 1e9",
+        "too large",
+    ];
+    assert_eq!(refusals, texts);
+
+    let decode_error = |body: &[u8]| decode::<ErrorBody>(body).unwrap_err().to_string();
+    let bodies: [&[u8]; 3] = [b"\x91\xa1e", b"\x80", b"\x81\xa5error\xa1e\x00"];
+    let texts = ["not a map", "missing field `error`", "trailing bytes"];
+    assert_eq!(bodies.map(decode_error), texts);
+}
