--- a/crates/wire/src/msg/cloud.rs
+++ b/crates/wire/src/msg/cloud.rs
@@ -1,7 +1,10 @@
 //! Messages between the scheduler and the cloud: machine types and machines.
 use serde::{Deserialize, Serialize};
 
-/// A type of machine that can be rented.
+/// Fewest CPUs counted for a machine type, so that no price is divided by zero.
+const MIN_CPUS: f64 = 0.01;
+
+/// A machine type that can be provisioned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name.
@@ -18,16 +21,16 @@
     /// Size of the image cache, GB.
     #[serde(rename = "cacheGb", default)]
     pub cache_gb: f64,
-    /// Speed of fetching images, GB/s.
+    /// Speed of pulling images, GB/s.
     #[serde(rename = "fetchGbPerS")]
     pub fetch_gb_per_s: f64,
     /// Price per hour.
     #[serde(rename = "hourly")]
     pub hourly_price: f64,
-    /// Price per hour as spot machine; `None`: not offered.
+    /// Price per hour of a spot machine; `None`: not offered.
     #[serde(rename = "lowPrice", default)]
     pub hourly_spot_price: Option<f64>,
-    /// Time from renting to readiness, s.
+    /// Time from the provisioning request until the machine is ready, s.
     #[serde(rename = "readyS")]
     pub boot_s: f64,
     /// Zones that offer it.
@@ -36,14 +39,14 @@
 }
 
 impl MachineType {
-    /// The current price per hour and cpu.
+    /// The current price per hour and CPU, on demand or as a spot machine.
     pub fn price_per_cpu(&self, spot: bool) -> f64 {
-        let price = if spot { self.hourly_spot_price } else { None };
-        price.unwrap_or(self.hourly_price) / self.cpus.max(0.01)
+        let spot_price = if spot { self.hourly_spot_price } else { None };
+        spot_price.unwrap_or(self.hourly_price) / self.cpus.max(MIN_CPUS)
     }
 }
 
-/// All machine types on offer.
+/// All machine types that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     /// The machine types.
@@ -51,10 +54,10 @@
     pub machine_types: Vec<MachineType>,
 }
 
-/// A request to rent machines.
+/// A request to provision machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Id of the request; a repeated request has the same.
+    /// Id of the request, which makes it idempotent: a retry has the same.
     #[serde(rename = "hire")]
     pub request_id: String,
     /// Name of the machine type.
@@ -78,11 +81,11 @@
     pub machine_ids: Vec<String>,
 }
 
-/// State of a rented machine.
+/// State of a machine in the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It starts up.
+    /// It boots.
     #[serde(rename = "booting")]
     Provisioning,
     /// It runs.
@@ -91,7 +94,7 @@
     Failed,
 }
 
-/// A rented machine in the list.
+/// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// The machine id.
@@ -112,12 +115,12 @@
     /// Its state.
     #[serde(rename = "phase")]
     pub state: MachineState,
-    /// Time since it was rented, s.
+    /// Time since it was provisioned, s.
     #[serde(rename = "heldS")]
     pub age_s: f64,
 }
 
-/// One page of the list of rented machines.
+/// One page of the cloud's list of machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineListPage {
     /// The machines on this page.
--- a/crates/wire/src/msg/store.rs
+++ b/crates/wire/src/msg/store.rs
@@ -1,18 +1,18 @@
-//! Messages between the scheduler and the state service: transactions, lists, watches, leases.
+//! Messages between the scheduler and the key-value store: transactions, lists, watches, leases.
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction.
+/// A condition of a transaction, checked by compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version that the key must have; 0: it must not exist.
+    /// Revision that the key must have; 0: it must not exist.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// One change in a transaction.
+/// One write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write<V> {
@@ -24,7 +24,7 @@
         /// The value.
         #[serde(rename = "v")]
         value: V,
-        /// Lease with which the entry ends; `None`: it stays.
+        /// Lease whose expiry deletes the entry; `None`: it has no lease.
         #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
@@ -47,13 +47,13 @@
     pub writes: Vec<Write<V>>,
 }
 
-/// The answer to a transaction.
+/// The response to a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TxnResponse {
     /// Revision of the store after it.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Keys whose conditions did not hold.
+    /// Keys whose conditions failed; then nothing was written.
     #[serde(default)]
     #[serde(rename = "failed")]
     pub failed_keys: Vec<String>,
@@ -68,15 +68,15 @@
     /// The value.
     #[serde(rename = "v")]
     pub value: V,
-    /// Version of the entry.
+    /// Revision of the last write to the entry.
     #[serde(rename = "stamp")]
     pub revision: u64,
-    /// Lease with which it ends; `None`: it stays.
+    /// Lease whose expiry deletes it; `None`: it has no lease.
     #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
     pub lease_id: Option<u64>,
 }
 
-/// One page of a list.
+/// One page of a range listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListPage<V> {
     /// The entries on this page.
@@ -90,7 +90,7 @@
     pub revision: u64,
 }
 
-/// One change in the answer to a watch.
+/// One event in the response to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent<V> {
@@ -102,7 +102,7 @@
         /// The value.
         #[serde(rename = "v")]
         value: V,
-        /// Version of the entry.
+        /// Revision of the last write to the entry.
         #[serde(rename = "stamp")]
         revision: u64,
     },
@@ -111,26 +111,26 @@
         /// The key.
         #[serde(rename = "drop")]
         key: String,
-        /// Version of the deletion.
+        /// Revision of the deletion.
         #[serde(rename = "stamp")]
         revision: u64,
     },
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse<V> {
-    /// Revision up to which the changes are told.
+    /// Revision up to which the events are complete; the next watch starts here.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes, in order.
+    /// The events, in order.
     pub events: Vec<WatchEvent<V>>,
 }
 
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time until it ends unless renewed, ms.
+    /// Time to live unless renewed, ms.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
--- a/crates/wire/src/msg/worker.rs
+++ b/crates/wire/src/msg/worker.rs
@@ -1,23 +1,23 @@
-//! Messages between workers and the scheduler: reports and commands.
+//! Messages between workers and the scheduler: heartbeats and commands.
 use serde::{Deserialize, Serialize};
 
 /// State of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// Its image is being pulled.
     Fetching,
-    /// A gang's task that waits for the other tasks of its attempt.
+    /// A task of a gang, waiting for the other tasks of its attempt.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It saves its progress before it ends.
+    /// It is saving a checkpoint before it ends.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It has ended; the cause stands beside.
+    /// It has ended; [`TaskStatus::exit_cause`] says why.
     Exited,
-    /// States of later protocol versions; the task is there.
+    /// A state of a later protocol version; the task is on the machine.
     #[serde(other)]
     Other,
 }
@@ -26,13 +26,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// It has finished.
+    /// It completed.
     Done,
     /// It was stopped.
     Stopped,
     /// It failed.
     Error,
-    /// The machine has no room for it.
+    /// The machine has too little free capacity for it.
     #[serde(rename = "full")]
     NoCapacity,
     /// Another attempt at the same task is still on the machine.
@@ -41,18 +41,18 @@
     /// The machine knows no such task.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// Another task of its gang is gone.
+    /// Another task of its gang ended or was lost.
     #[serde(rename = "mates_gone")]
     GangMembersGone,
-    /// Its gang was not complete in time.
+    /// Not all tasks of its gang started in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// Causes of later protocol versions; treated as a stop.
+    /// A cause of a later protocol version; treated as a stop.
     #[serde(other)]
     Other,
 }
 
-/// One task in a report.
+/// The status of one task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task id.
@@ -67,19 +67,19 @@
     /// Why it has ended; only if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_cause: Option<ExitCause>,
-    /// Whether its progress was saved, if told.
+    /// Whether its progress was saved; `None`: the worker does not say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "saved")]
     pub progress_saved: Option<bool>,
 }
 
-/// A worker's report on its machine and all tasks there.
+/// A worker's heartbeat, with the status of its machine and of all tasks there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine id.
     #[serde(rename = "hearth")]
     pub machine_id: String,
-    /// IP address and port for commands.
+    /// IP address and port for direct commands.
     pub addr: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
@@ -90,16 +90,16 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub is_spot: bool,
-    /// Number of the worker's session.
+    /// Incarnation of the worker: a higher number after each restart.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Sequence number of the report within the session.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Time until the machine is taken back, s; `None`: no notice was given.
+    /// Time until the cloud evicts the spot machine, s; `None`: no notice was given.
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
     pub eviction_in_s: Option<f64>,
     /// All tasks on the machine.
@@ -107,7 +107,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a worker is to do with a task.
+/// A command on one task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
@@ -130,11 +130,11 @@
         /// Number of the attempt at the task.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time for saving before the task is ended, s.
+        /// Time for saving a checkpoint before the task is killed, s.
         #[serde(rename = "windDownS")]
         grace_period_s: f64,
     },
-    /// Drop the record of an exited task.
+    /// Forget an exited task, whose result is stored.
     #[serde(rename = "clear")]
     Forget {
         /// The task id.
@@ -149,10 +149,10 @@
 /// Commands to one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// Fencing token of the sending leader.
+    /// Fencing token of the sending leader: its term. Workers refuse lower ones than they have seen.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Only in direct commands.
+    /// The incarnation that the commands are for; only in direct commands.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<u64>,
     /// The commands, in order.
@@ -160,10 +160,10 @@
     pub commands: Vec<Command>,
 }
 
-/// The answer of a controller that does not lead.
+/// The reply of a controller that is not the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Where to report; `None`: not known.
+    /// The leader, where heartbeats belong; `None`: not known.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
     pub target_node: Option<String>,
 }
