--- a/crates/constants/src/constants.rs
+++ b/crates/constants/src/constants.rs
@@ -23,9 +23,10 @@
 pub const IDLE_CONNECTION_TIMEOUT_MS: u64 = 65_000;
 /// ms a client may take to send one whole request once begun: slow senders hold sockets.
 pub const REQUEST_READ_TIMEOUT_MS: u64 = 5_000;
-/// Sockets kept back from accepting, for our own calls to state, cloud, workers and peers; a quarter
-/// of the limit where that is less.
+/// Sockets kept back from accepting, for our own calls to state, cloud, workers and peers.
 pub const RESERVED_OUTBOUND_SOCKETS: usize = 160;
+/// At most one in so many sockets is kept back in this way, so that a low limit leaves some for users.
+pub const RESERVED_OUTBOUND_SOCKETS_DIVISOR: usize = 4;
 /// Of these, kept back from calls to workers: state service, cloud and peers never go without.
 pub const RESERVED_SERVICE_SOCKETS: usize = 32;
 /// Sockets that are not counted one by one: poller, standard streams, some to spare.
@@ -42,6 +43,8 @@
 /// ms between turns of the timers at most. Each turn costs system calls, which a few per cent of
 /// a core feel; no timer here needs more than a tenth of a second.
 pub const TIMER_INTERVAL_MS: u64 = 100;
+/// ms between two looks for idle connections and for peers to redial: both limits are seconds.
+pub const CONNECTION_SWEEP_INTERVAL_MS: u64 = 1_000;
 /// Bytes read from a socket at once.
 pub const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes of unsent output after which a peer link is cut: it has stopped reading. The reports of
--- a/crates/net/src/admission.rs
+++ b/crates/net/src/admission.rs
@@ -1,4 +1,4 @@
-//! A limit on user requests in progress that adjusts itself to measured times.
+//! A limit on user requests in progress that adapts to measured latencies.
 use std::collections::HashMap;
 use stonegw_constants::{
     ADMISSION_BASELINE_WEIGHT, ADMISSION_DECREASE_FACTOR, ADMISSION_LATENCY_FLOOR_MS,
@@ -6,15 +6,21 @@
     ADMISSION_MAX_STARVATION_MS, ADMISSION_MAX_TRACKED_REJECTIONS, ADMISSION_STATUS_QUERY_FRACTION,
 };
 
-/// Grows by one for every limit's worth of requests answered in the usual time; shrinks by a
-/// tenth when one took several times as long.
+/// Rejected status queries are forgotten after this many times [`ADMISSION_MAX_STARVATION_MS`]: a
+/// user who has not retried for so long retries at another node.
+const REJECTION_RETENTION_PERIODS: u64 = 8;
+
+/// Additive increase, multiplicative decrease: the limit grows by one for every limit's worth of
+/// requests completed at the usual latency, and shrinks by a tenth when one took several times as
+/// long.
 #[derive(Debug)]
 pub struct AdmissionLimiter {
     limit: f64,
     requests_in_progress: usize,
     baseline_latency_ms: f64,
     next_decrease_at: u64,
-    /// Questions that were turned away and not asked in vain before, since when.
+    /// Status queries that were rejected and not admitted since, with the time of the first
+    /// rejection.
     rejected_since: HashMap<String, u64>,
 }
 
@@ -31,61 +37,73 @@
 }
 
 impl AdmissionLimiter {
-    /// `question`: what a poll asks about. Questions leave a part of the limit to submissions and
-    /// cancellations, however many there are; one turned away for long comes in whatever the limit.
-    pub fn try_admit(&mut self, now: u64, question: Option<&str>) -> bool {
-        let since = question.and_then(|q| self.rejected_since.get(q)).copied();
-        let due = since.is_some_and(|at| now >= at + ADMISSION_MAX_STARVATION_MS);
-        let part = question.map_or(1.0, |_| ADMISSION_STATUS_QUERY_FRACTION);
-        let ok = (self.requests_in_progress as f64) < self.limit * part || due;
-        if ok {
+    /// Admits or rejects a request at `now_ms`. `status_query`: the path of a status query, `None`
+    /// for submissions and cancellations.
+    ///
+    /// Status queries may use only a part of the limit, so that a storm of them leaves room for
+    /// submissions and cancellations. A status query that has been rejected for long is admitted
+    /// whatever the limit.
+    pub fn try_admit(&mut self, now_ms: u64, status_query: Option<&str>) -> bool {
+        let rejected_since = status_query.and_then(|path| self.rejected_since.get(path).copied());
+        let is_starved = rejected_since
+            .is_some_and(|rejected_at| now_ms >= rejected_at + ADMISSION_MAX_STARVATION_MS);
+        let usable_fraction = match status_query {
+            Some(_) => ADMISSION_STATUS_QUERY_FRACTION,
+            None => 1.0,
+        };
+        let is_below_limit = (self.requests_in_progress as f64) < self.limit * usable_fraction;
+        let is_admitted = is_below_limit || is_starved;
+        if is_admitted {
             self.requests_in_progress += 1;
         }
-        match question {
-            Some(q) if ok => drop(self.rejected_since.remove(q)),
-            Some(q) if since.is_none() => {
-                if self.rejected_since.len() >= ADMISSION_MAX_TRACKED_REJECTIONS {
-                    // Whoever has not asked again for so long asks elsewhere.
-                    let fair = ADMISSION_MAX_STARVATION_MS;
-                    self.rejected_since.retain(|_, at| now < *at + 8 * fair);
-                }
-                if self.rejected_since.len() < ADMISSION_MAX_TRACKED_REJECTIONS {
-                    self.rejected_since.insert(q.to_owned(), now);
-                }
-            }
+        match status_query {
+            Some(path) if is_admitted => drop(self.rejected_since.remove(path)),
+            Some(path) if rejected_since.is_none() => self.track_rejection(now_ms, path),
             _ => {}
         }
-        ok
+        is_admitted
+    }
+
+    /// Remembers a rejected status query, as long as there are not too many.
+    fn track_rejection(&mut self, now_ms: u64, path: &str) {
+        if self.rejected_since.len() >= ADMISSION_MAX_TRACKED_REJECTIONS {
+            let retention_ms = REJECTION_RETENTION_PERIODS * ADMISSION_MAX_STARVATION_MS;
+            self.rejected_since
+                .retain(|_, rejected_at| now_ms < *rejected_at + retention_ms);
+        }
+        if self.rejected_since.len() < ADMISSION_MAX_TRACKED_REJECTIONS {
+            self.rejected_since.insert(path.to_owned(), now_ms);
+        }
     }
 
-    /// A request left unanswered: its time says nothing.
+    /// Counts a request as ended without a response: its latency says nothing.
     pub fn release_unmeasured(&mut self) {
         self.requests_in_progress = self.requests_in_progress.saturating_sub(1);
     }
 
-    /// Counts a request as answered at `now` after `took_ms`, both ms, and adjusts the limit.
-    pub fn record_completion(&mut self, now: u64, took_ms: u64) {
+    /// Counts a request as completed at `now_ms` after `latency_ms`, and adjusts the limit.
+    pub fn record_completion(&mut self, now_ms: u64, latency_ms: u64) {
         self.release_unmeasured();
-        let took = took_ms as f64;
+        let latency = latency_ms as f64;
         if self.baseline_latency_ms == 0.0 {
-            self.baseline_latency_ms = took;
+            self.baseline_latency_ms = latency;
         }
-        let slow = took
-            > (self.baseline_latency_ms * ADMISSION_LATENCY_TOLERANCE)
-                .max(ADMISSION_LATENCY_FLOOR_MS);
-        if slow {
-            // Requests that waited together tell of one delay: one cut for all of them.
-            if now >= self.next_decrease_at {
+        let slow_threshold_ms = (self.baseline_latency_ms * ADMISSION_LATENCY_TOLERANCE)
+            .max(ADMISSION_LATENCY_FLOOR_MS);
+        if latency > slow_threshold_ms {
+            // Requests that waited together show a single delay: one decrease for all of them.
+            if now_ms >= self.next_decrease_at {
                 self.limit = (self.limit * ADMISSION_DECREASE_FACTOR).max(ADMISSION_LIMIT_MIN);
-                self.next_decrease_at = now + took_ms;
+                self.next_decrease_at = now_ms + latency_ms;
             }
         } else {
             self.limit = (self.limit + 1.0 / self.limit).min(ADMISSION_LIMIT_MAX);
         }
-        self.baseline_latency_ms += (took - self.baseline_latency_ms) * ADMISSION_BASELINE_WEIGHT;
+        self.baseline_latency_ms +=
+            (latency - self.baseline_latency_ms) * ADMISSION_BASELINE_WEIGHT;
     }
 
-    /// The present limit on requests in progress.
+    /// The current limit on requests in progress.
     pub fn limit(&self) -> f64 {
         self.limit
     }
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -1,6 +1,7 @@
-//! What the event loop reports to its caller.
+//! What passes between the event loop and its caller.
 use stonegw_wire::frame::Frame;
 use stonegw_wire::http::Request;
+use thiserror::Error;
 
 /// A link to another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -11,17 +12,57 @@
     Inbound(u64),
 }
 
-/// How a call failed.
+/// An HTTP request that this node sends.
+#[derive(Clone, Copy, Debug)]
+pub struct OutgoingCall<'a> {
+    /// Id that the result repeats, chosen by the caller.
+    pub call_id: u64,
+    /// IP address and port of the server.
+    pub remote_addr: &'a str,
+    /// Which reserved sockets the call may use.
+    pub reserve: SocketReserve,
+    /// The HTTP method.
+    pub method: &'a str,
+    /// The request target.
+    pub path: &'a str,
+    /// The body; empty if there is none.
+    pub body: &'a [u8],
+    /// ms after which the call fails without a response.
+    pub timeout_ms: u64,
+}
+
+/// Which of the sockets reserved near the limit a call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SocketReserve {
+    /// All of them: calls to the key-value store and the cloud never go without a socket.
+    Services,
+    /// Those not kept for the services: calls to workers.
+    Workers,
+}
+
+/// Why a call failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CallFailure {
-    /// No byte of it went out.
+    /// No byte of the request was sent.
+    #[error("not sent")]
     NotSent,
-    /// It went out at least in part; whether it took effect is unknown.
+    /// The request was sent at least in part; whether it took effect is unknown.
+    #[error("outcome unknown")]
     OutcomeUnknown,
-    /// It was answered, with more than is taken in.
+    /// The response is larger than accepted.
+    #[error("response too large")]
     ResponseTooLarge,
 }
 
+/// The response to a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CallResponse {
+    /// The HTTP status.
+    pub status: u16,
+    /// The body; empty if there is none.
+    pub body: Vec<u8>,
+}
+
 /// What happened on the sockets.
 #[derive(Debug)]
 pub enum NetworkEvent {
@@ -32,12 +73,12 @@
         /// The request.
         request: Request,
     },
-    /// A call of ours has ended.
+    /// A call of this node has ended.
     CallDone {
         /// Id that the caller gave it.
         call_id: u64,
-        /// Status and body of the answer.
-        result: Result<(u16, Vec<u8>), CallFailure>,
+        /// The response, or why there is none.
+        result: Result<CallResponse, CallFailure>,
     },
     /// A frame from a peer.
     Frame {
@@ -46,7 +87,7 @@
         /// The frame.
         frame: Frame,
     },
-    /// A link of ours is connected.
+    /// A link that this node opened is connected.
     LinkUp(PeerLink),
     /// A link is closed.
     LinkDown(PeerLink),
--- a/crates/net/src/event_loop/accept.rs
+++ b/crates/net/src/event_loop/accept.rs
@@ -4,66 +4,91 @@
 use std::io;
 use std::net::TcpStream;
 use stonegw_constants::{
-    IDLE_CONNECTION_TIMEOUT_MS, IDLE_EVICTION_BATCH, RESERVED_OUTBOUND_SOCKETS, UNCOUNTED_SOCKETS,
+    IDLE_CONNECTION_TIMEOUT_MS, IDLE_EVICTION_BATCH, RESERVED_OUTBOUND_SOCKETS,
+    RESERVED_OUTBOUND_SOCKETS_DIVISOR, UNCOUNTED_SOCKETS,
 };
 
-/// The rank of an idle connection, lowest closed first; `None` if it is in use.
-fn eviction_rank(c: &Connection) -> Option<(u8, u64)> {
-    match &c.kind {
-        ConnectionKind::Client { call_id: None, .. } => Some((0, c.deadline)),
-        ConnectionKind::Server {
-            request_in_progress: false,
-            ..
-        } if c.input.is_empty() && c.output.is_empty() => Some((1, c.deadline)),
-        _ => None,
+/// Who connects to a listening socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ListenerKind {
+    /// Users and workers.
+    Client,
+    /// Other controllers.
+    Peer,
+}
+
+/// In which order idle connections are closed, lowest first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// Opened by this node; the time at which it would be closed anyway.
+    Client { deadline: u64 },
+    /// Accepted from a user or worker; likewise.
+    Server { deadline: u64 },
+}
+
+impl EvictionRank {
+    /// The rank of an idle connection; `None` if it is in use.
+    fn of(connection: &Connection) -> Option<EvictionRank> {
+        let deadline = connection.deadline;
+        match &connection.kind {
+            ConnectionKind::Client { call_id: None, .. } => Some(EvictionRank::Client { deadline }),
+            ConnectionKind::Server {
+                request_in_progress: false,
+                ..
+            } if connection.input.is_empty() && connection.output.is_empty() => {
+                Some(EvictionRank::Server { deadline })
+            }
+            _ => None,
+        }
     }
 }
 
 impl EventLoop {
-    /// Whether there is a socket besides so many that are kept. Nearing the limit, idle connections
-    /// go, the longest idle first: our own to workers, then those of workers and users.
-    pub(super) fn ensure_socket_available(&mut self, kept: usize) -> bool {
-        let most = self
+    /// Whether one more socket may be opened while `reserved` of them stay free. Near the limit,
+    /// idle connections are closed, the longest idle first: those of this node's own calls, then
+    /// those of workers and users.
+    pub(super) fn ensure_socket_available(&mut self, reserved: usize) -> bool {
+        let max_connections = self
             .max_sockets
-            .saturating_sub(kept + FIRST_CONNECTION_KEY + UNCOUNTED_SOCKETS);
-        if self.connections.len() >= most {
+            .saturating_sub(reserved + FIRST_CONNECTION_KEY + UNCOUNTED_SOCKETS);
+        if self.connections.len() >= max_connections {
             self.evict_idle_connections();
         }
-        self.connections.len() < most
+        self.connections.len() < max_connections
     }
 
     fn evict_idle_connections(&mut self) {
-        let conns = self.connections.iter();
-        let mut idle: Vec<_> = conns
-            .filter_map(|(key, c)| Some((eviction_rank(c)?, *key)))
+        let mut idle: Vec<(EvictionRank, usize)> = self
+            .connections
+            .iter()
+            .filter_map(|(key, connection)| Some((EvictionRank::of(connection)?, *key)))
             .collect();
         idle.sort_unstable();
         log::info!(
             "{} sockets in use; closing idle ones",
             self.connections.len()
         );
-        // Several at once, for looking at all of them costs time.
+        // Several at once, since ranking all of them costs time.
         for (_, key) in idle.into_iter().take(IDLE_EVICTION_BATCH) {
             self.close_connection(key);
         }
     }
 
-    /// Accepts all waiting connections, of users and workers or of peers.
-    pub(super) fn accept_connections(&mut self, user: bool) {
+    /// Accepts all waiting connections on a listening socket.
+    pub(super) fn accept_connections(&mut self, kind: ListenerKind) {
         let now = self.now_ms();
         loop {
-            let listener = if user {
-                &self.client_listener
-            } else {
-                &self.peer_listener
+            let listener = match kind {
+                ListenerKind::Client => &self.client_listener,
+                ListenerKind::Peer => &self.peer_listener,
             };
             match listener.accept() {
-                Ok((stream, _)) => self.register_accepted(stream, user, now),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => {
+                Ok((stream, _)) => self.register_accepted(stream, kind, now),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => {
                     if !self.is_accept_paused {
-                        log::warn!("cannot accept: {e}");
+                        log::warn!("cannot accept: {error}");
                         self.is_accept_paused = true;
                     }
                     return;
@@ -72,27 +97,28 @@
         }
     }
 
-    fn register_accepted(&mut self, stream: TcpStream, user: bool, now: u64) {
-        let kept = RESERVED_OUTBOUND_SOCKETS.min(self.max_sockets / 4);
-        if !self.ensure_socket_available(if user { kept } else { 0 }) {
-            // Dropped: the load balancer turns to another node.
+    fn register_accepted(&mut self, stream: TcpStream, kind: ListenerKind, now: u64) {
+        let reserved = match kind {
+            ListenerKind::Client => {
+                RESERVED_OUTBOUND_SOCKETS.min(self.max_sockets / RESERVED_OUTBOUND_SOCKETS_DIVISOR)
+            }
+            ListenerKind::Peer => 0,
+        };
+        if !self.ensure_socket_available(reserved) {
+            // Dropped: the load balancer retries at another node.
             log::debug!("too many connections");
             return;
         }
         let _ = stream.set_nonblocking(true);
         let _ = stream.set_nodelay(true);
-        let role = if user {
-            ConnectionKind::Server {
+        let connection_kind = match kind {
+            ListenerKind::Client => ConnectionKind::Server {
                 request_in_progress: false,
                 close_after_reply: false,
-            }
-        } else {
-            ConnectionKind::PeerInbound
+            },
+            ListenerKind::Peer => ConnectionKind::PeerInbound,
         };
-        self.register_connection(Connection::new(
-            stream,
-            role,
-            now + IDLE_CONNECTION_TIMEOUT_MS,
-        ));
+        let deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
+        self.register_connection(Connection::new(stream, connection_kind, deadline));
     }
 }
--- a/crates/net/src/event_loop/client.rs
+++ b/crates/net/src/event_loop/client.rs
@@ -1,139 +1,155 @@
-//! Calls to workers, the cloud and the state service, over kept or new connections.
+//! Calls to workers, the cloud and the key-value store, over idle or new connections.
 use super::socket::start_connect;
 use super::EventLoop;
 use crate::connection::{Connection, ConnectionKind, ReadOutcome};
-use crate::event::{CallFailure, NetworkEvent};
+use crate::event::{CallFailure, CallResponse, NetworkEvent, OutgoingCall, SocketReserve};
 use stonegw_constants::{
     IDLE_CLIENT_CONNECTION_TIMEOUT_MS, MAX_RESPONSE_BYTES, RESERVED_SERVICE_SOCKETS,
 };
-use stonegw_wire::http::{self, HttpError};
+use stonegw_wire::http::{self, HttpError, Response};
 use stonegw_wire::Parsed;
 
 impl EventLoop {
-    /// Starts call `call`, which fails if it has no answer after `wait` ms.
-    ///
-    /// `vital`: to the state service or the cloud, which calls to workers must never keep from a
-    /// socket.
-    #[allow(clippy::too_many_arguments, reason = "a call has this many parts")]
-    pub fn start_call(
-        &mut self,
-        call: u64,
-        addr: &str,
-        vital: bool,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        wait: u64,
-    ) {
+    /// Starts a call. Its result comes as [`NetworkEvent::CallDone`].
+    pub fn start_call(&mut self, call: &OutgoingCall) {
         let now = self.now_ms();
-        let kept = self.idle_connections.get_mut(addr).and_then(Vec::pop);
-        let Some(key) = kept.or_else(|| self.connect_for_call(addr, vital)) else {
-            return self.report_call_failure(call, CallFailure::NotSent);
-        };
-        let Some(c) = self.connections.get_mut(&key) else {
-            return self.report_call_failure(call, CallFailure::NotSent);
+        let idle_key = self
+            .idle_connections
+            .get_mut(call.remote_addr)
+            .and_then(Vec::pop);
+        let key = idle_key.or_else(|| self.connect_for_call(call));
+        let connection = key.and_then(|key| Some((key, self.connections.get_mut(&key)?)));
+        let Some((key, connection)) = connection else {
+            return self.report_call_failure(call.call_id, CallFailure::NotSent);
         };
-        c.kind = ConnectionKind::Client {
-            remote_addr: addr.into(),
-            call_id: Some(call),
+        connection.kind = ConnectionKind::Client {
+            remote_addr: call.remote_addr.into(),
+            call_id: Some(call.call_id),
         };
-        c.deadline = now + wait;
-        c.bytes_sent = 0;
-        c.input.clear();
-        http::write_request(&mut c.output, method, addr, path, body);
-        self.calls_in_progress.insert(call, key);
-        if !self.connections[&key].is_connecting {
+        connection.deadline = now + call.timeout_ms;
+        connection.bytes_sent = 0;
+        connection.input.clear();
+        http::write_request(
+            &mut connection.output,
+            call.method,
+            call.remote_addr,
+            call.path,
+            call.body,
+        );
+        self.calls_in_progress.insert(call.call_id, key);
+        if !connection.is_connecting {
             self.unwritten_connections.push(key);
         }
     }
 
-    /// Starts a new connection for a call, if there is a socket left for it.
-    fn connect_for_call(&mut self, addr: &str, vital: bool) -> Option<usize> {
-        if !self.ensure_socket_available(if vital { 0 } else { RESERVED_SERVICE_SOCKETS }) {
-            log::warn!("no socket left for {addr}");
+    /// Starts a new connection for a call, if a socket is available for it.
+    fn connect_for_call(&mut self, call: &OutgoingCall) -> Option<usize> {
+        let remote_addr = call.remote_addr;
+        let reserved = match call.reserve {
+            SocketReserve::Services => 0,
+            SocketReserve::Workers => RESERVED_SERVICE_SOCKETS,
+        };
+        if !self.ensure_socket_available(reserved) {
+            log::warn!("no socket left for {remote_addr}");
             return None;
         }
-        let stream = match start_connect(addr) {
+        let stream = match start_connect(remote_addr) {
             Ok(stream) => stream,
-            Err(e) => {
-                log::debug!("no connection to {addr}: {e}");
+            Err(error) => {
+                log::debug!("no connection to {remote_addr}: {error}");
                 return None;
             }
         };
-        let role = ConnectionKind::Client {
-            remote_addr: addr.into(),
+        let kind = ConnectionKind::Client {
+            remote_addr: remote_addr.into(),
             call_id: None,
         };
-        let mut c = Connection::new(stream, role, 0);
-        c.is_connecting = true;
-        self.register_connection(c)
+        let mut connection = Connection::new(stream, kind, 0);
+        connection.is_connecting = true;
+        self.register_connection(connection)
     }
 
-    /// Reports that call `call` failed.
-    pub fn report_call_failure(&mut self, call: u64, why: CallFailure) {
+    /// Reports that a call failed.
+    pub fn report_call_failure(&mut self, call_id: u64, failure: CallFailure) {
         self.pending_events.push(NetworkEvent::CallDone {
-            call_id: call,
-            result: Err(why),
+            call_id,
+            result: Err(failure),
         });
     }
 
-    /// Parses the answer to the call on this connection, after a read with the outcome `got`.
-    pub(super) fn handle_response(&mut self, key: usize, got: ReadOutcome) {
-        let now = self.now_ms();
-        let Some(c) = self.connections.get_mut(&key) else {
+    /// Parses the response to the call on this connection, after a read.
+    pub(super) fn handle_response(&mut self, key: usize, outcome: ReadOutcome) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let ConnectionKind::Client {
-            remote_addr: addr,
-            call_id: call,
-        } = &mut c.kind
+            remote_addr,
+            call_id,
+        } = &mut connection.kind
         else {
             return;
         };
-        let Some(id) = *call else {
-            // Closed, or unasked bytes: of no use any more.
+        let Some(id) = *call_id else {
+            // Closed by the server, or bytes that no call asked for: of no further use.
             return self.close_connection(key);
         };
-        match http::parse_response(&c.input, MAX_RESPONSE_BYTES) {
-            Ok(Some(Parsed {
-                message: response,
-                consumed_bytes,
-            })) => {
-                let keep = !response.connection_close
-                    && consumed_bytes == c.input.len()
-                    && got == ReadOutcome::Open;
-                c.input = vec![];
-                *call = None;
-                let addr = addr.clone();
-                self.calls_in_progress.remove(&id);
-                let result = Ok((response.status, response.body));
-                self.pending_events.push(NetworkEvent::CallDone {
-                    call_id: id,
-                    result,
-                });
-                if keep {
-                    self.idle_connections.entry(addr).or_default().push(key);
-                    c.deadline = now + IDLE_CLIENT_CONNECTION_TIMEOUT_MS;
-                } else {
-                    self.close_connection(key);
-                }
-            }
-            Ok(None) if got == ReadOutcome::Open => {}
+        match http::parse_response(&connection.input, MAX_RESPONSE_BYTES) {
+            Ok(Some(response)) => self.complete_call(key, id, response, outcome),
+            Ok(None) if outcome == ReadOutcome::Open => {}
             Ok(None) => self.close_connection(key),
             Err(HttpError::BodyTooLarge) => {
-                log::warn!(
-                    "{addr} answered with more than {} bytes",
-                    MAX_RESPONSE_BYTES
-                );
-                *call = None;
+                log::warn!("{remote_addr} responded with more than {MAX_RESPONSE_BYTES} bytes");
+                *call_id = None;
                 self.calls_in_progress.remove(&id);
                 self.report_call_failure(id, CallFailure::ResponseTooLarge);
                 self.close_connection(key);
             }
-            Err(e) => {
-                log::warn!("{addr} answered with a malformed head: {e}");
+            Err(error) => {
+                log::warn!("{remote_addr} responded with a malformed head: {error}");
                 self.close_connection(key);
             }
         }
     }
+
+    /// Reports the response to a call, and keeps the connection for the next call if it can be
+    /// used again.
+    fn complete_call(
+        &mut self,
+        key: usize,
+        id: u64,
+        response: Parsed<Response>,
+        outcome: ReadOutcome,
+    ) {
+        let now = self.now_ms();
+        self.calls_in_progress.remove(&id);
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return;
+        };
+        let is_reusable = !response.message.connection_close
+            && response.consumed_bytes == connection.input.len()
+            && outcome == ReadOutcome::Open;
+        connection.input = vec![];
+        let ConnectionKind::Client {
+            remote_addr,
+            call_id,
+        } = &mut connection.kind
+        else {
+            return;
+        };
+        *call_id = None;
+        self.pending_events.push(NetworkEvent::CallDone {
+            call_id: id,
+            result: Ok(CallResponse {
+                status: response.message.status,
+                body: response.message.body,
+            }),
+        });
+        if is_reusable {
+            connection.deadline = now + IDLE_CLIENT_CONNECTION_TIMEOUT_MS;
+            let idle_keys = self.idle_connections.entry(remote_addr.clone());
+            idle_keys.or_default().push(key);
+        } else {
+            self.close_connection(key);
+        }
+    }
 }
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -5,10 +5,13 @@
 mod registry;
 mod server;
 mod socket;
+mod timers;
 
 use crate::admission::AdmissionLimiter;
 use crate::connection::{Connection, ConnectionKind, ReadOutcome};
 use crate::event::{NetworkEvent, PeerLink};
+use accept::ListenerKind;
+use peer::{OutboundLink, Peer};
 use polling::{Event, Events, PollMode, Poller};
 use socket::open_listener;
 use std::collections::HashMap;
@@ -16,8 +19,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 use stonegw_constants::{
-    MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BYTES, PROCESS_PAUSE_THRESHOLD_MS,
-    TIMER_INTERVAL_MS,
+    MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BYTES, TIMER_INTERVAL_MS,
 };
 
 const CLIENT_LISTENER_KEY: usize = 0;
@@ -34,25 +36,29 @@
     connections: HashMap<usize, Connection>,
     next_key: usize,
     max_sockets: usize,
-    /// Idle connections of ours, by address.
+    /// Keys of idle connections for calls, by remote address.
     idle_connections: HashMap<String, Vec<usize>>,
-    /// Calls in progress, with their connection.
+    /// Connection key of each call in progress, by call id.
     calls_in_progress: HashMap<u64, usize>,
-    peer_addrs: Vec<String>,
-    /// The connection to each peer, or when to dial again.
-    peer_links: Vec<Result<usize, u64>>,
+    peers: Vec<Peer>,
     admission: AdmissionLimiter,
     pending_events: Vec<NetworkEvent>,
-    /// Connections with something new to send: all that one turn has to say goes out together.
+    /// Connections with new output, written once per turn so that it leaves in few packets.
     unwritten_connections: Vec<usize>,
+    /// When connections were last checked for idleness, and peers for redialing.
     last_sweep_at: u64,
     /// When the timers last ran.
     timers_ran_at: u64,
+    /// Accepting failed; the log says so once, until a connection is closed.
     is_accept_paused: bool,
 }
 
 impl EventLoop {
-    /// Opens the listening sockets; `peer_addrs`: the other controllers, as IP address and port.
+    /// Opens the listening sockets. `peer_addrs`: the other controllers, as IP address and port.
+    ///
+    /// # Errors
+    ///
+    /// If an address cannot be listened on or the system has no poller.
     pub fn new(
         client_listen: SocketAddr,
         peer_listen: SocketAddr,
@@ -60,32 +66,38 @@
         max_sockets: usize,
     ) -> io::Result<EventLoop> {
         let poller = Poller::new()?;
-        let clients = open_listener(client_listen)?;
-        let peers = open_listener(peer_listen)?;
-        for (listener, key) in [(&clients, CLIENT_LISTENER_KEY), (&peers, PEER_LISTENER_KEY)] {
+        let client_listener = open_listener(client_listen)?;
+        let peer_listener = open_listener(peer_listen)?;
+        let listeners = [
+            (&client_listener, CLIENT_LISTENER_KEY),
+            (&peer_listener, PEER_LISTENER_KEY),
+        ];
+        for (listener, key) in listeners {
             #[allow(
                 unsafe_code,
                 reason = "the poller takes raw sockets whose owner must outlive them"
             )]
             // SAFETY: the event loop owns the listeners together with the poller.
             unsafe {
-                poller.add_with_mode(listener, Event::readable(key), PollMode::Level)?
-            };
+                poller.add_with_mode(listener, Event::readable(key), PollMode::Level)?;
+            }
         }
-        let peer_links = peer_addrs.iter().map(|_| Err(0)).collect();
+        let dial_at_once = |addr| Peer {
+            addr,
+            outbound: OutboundLink::RedialAt(0),
+        };
         Ok(EventLoop {
             poller,
             poll_events: Events::new(),
             started_at: Instant::now(),
-            client_listener: clients,
-            peer_listener: peers,
+            client_listener,
+            peer_listener,
             connections: HashMap::new(),
             next_key: FIRST_CONNECTION_KEY,
             max_sockets,
             idle_connections: HashMap::new(),
             calls_in_progress: HashMap::new(),
-            peer_addrs,
-            peer_links,
+            peers: peer_addrs.into_iter().map(dial_at_once).collect(),
             admission: AdmissionLimiter::default(),
             pending_events: vec![],
             unwritten_connections: vec![],
@@ -95,154 +107,104 @@
         })
     }
 
-    /// Milliseconds of the steady clock since the start, plus one so that 0 means "never".
+    /// Milliseconds of the monotonic clock since the start, plus one so that 0 means "never".
     pub fn now_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64 + 1
     }
 
-    /// Waits for something to happen, at most until the next turn of the timers.
+    /// Sends pending output, waits for something to happen, at most until the timers run next, and
+    /// returns what happened.
+    ///
+    /// # Errors
+    ///
+    /// If the system's poller fails.
     pub fn poll(&mut self) -> io::Result<Vec<NetworkEvent>> {
         self.poll_events.clear();
         for key in std::mem::take(&mut self.unwritten_connections) {
             self.write_output(key);
         }
-        let wait = Duration::from_millis(if self.pending_events.is_empty() {
+        let timeout_ms = if self.pending_events.is_empty() {
             TIMER_INTERVAL_MS
         } else {
             0
-        });
-        match self.poller.wait(&mut self.poll_events, Some(wait)) {
+        };
+        let timeout = Duration::from_millis(timeout_ms);
+        match self.poller.wait(&mut self.poll_events, Some(timeout)) {
             Ok(_) => {}
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
-        let happened: Vec<Event> = self.poll_events.iter().collect();
-        for ev in happened {
-            match ev.key {
-                CLIENT_LISTENER_KEY => self.accept_connections(true),
-                PEER_LISTENER_KEY => self.accept_connections(false),
-                key => self.handle_readiness(key, ev.readable, ev.writable),
+        let ready: Vec<Event> = self.poll_events.iter().collect();
+        for event in ready {
+            match event.key {
+                CLIENT_LISTENER_KEY => self.accept_connections(ListenerKind::Client),
+                PEER_LISTENER_KEY => self.accept_connections(ListenerKind::Peer),
+                _ => self.handle_readiness(event),
             }
         }
         self.run_timers();
         Ok(std::mem::take(&mut self.pending_events))
     }
 
-    /// Handles one readiness event.
-    fn handle_readiness(&mut self, key: usize, readable: bool, writable: bool) {
-        let Some(c) = self.connections.get(&key) else {
+    /// Handles one readiness event of a connection.
+    fn handle_readiness(&mut self, event: Event) {
+        let Some(connection) = self.connections.get(&event.key) else {
             return;
         };
-        if c.is_connecting {
-            return self.finish_connecting(key, writable);
+        if connection.is_connecting {
+            return self.finish_connecting(event);
         }
-        if writable {
-            self.write_output(key);
+        if event.writable {
+            self.write_output(event.key);
         }
-        if readable {
-            self.handle_readable(key);
+        if event.readable {
+            self.handle_readable(event.key);
         }
     }
 
     /// Ends a connection attempt, if it has succeeded or failed.
-    fn finish_connecting(&mut self, key: usize, writable: bool) {
-        let Some(c) = self.connections.get_mut(&key) else {
+    fn finish_connecting(&mut self, event: Event) {
+        let Some(connection) = self.connections.get_mut(&event.key) else {
             return;
         };
-        match c.stream.take_error() {
-            Ok(None) if writable => {
-                c.is_connecting = false;
-                if let ConnectionKind::PeerOutbound(i) = c.kind {
+        match connection.stream.take_error() {
+            Ok(None) if event.writable => {
+                connection.is_connecting = false;
+                if let ConnectionKind::PeerOutbound(index) = connection.kind {
                     self.pending_events
-                        .push(NetworkEvent::LinkUp(PeerLink::Outbound(i)));
+                        .push(NetworkEvent::LinkUp(PeerLink::Outbound(index)));
                 }
-                self.write_output(key);
+                self.write_output(event.key);
             }
             Ok(None) => {}
-            _ => self.close_connection(key),
+            _ => self.close_connection(event.key),
         }
     }
 
-    /// Reads what has arrived and hands it to the parser for its role.
+    /// Reads what has arrived and hands it to the parser for this kind of connection.
     fn handle_readable(&mut self, key: usize) {
-        let Some(c) = self.connections.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let limit = match c.kind {
+        let max_input_bytes = match connection.kind {
             ConnectionKind::Server { .. } => MAX_HEAD_BYTES + MAX_REQUEST_BODY_BYTES,
             _ => MAX_RESPONSE_BYTES,
         };
-        let got = c.read_available(limit);
-        match c.kind {
+        let outcome = connection.read_available(max_input_bytes);
+        match connection.kind {
             ConnectionKind::Server { .. } => {
-                if got == ReadOutcome::Closed {
+                if outcome == ReadOutcome::Closed {
                     return self.close_connection(key);
                 }
                 self.serve_next_request(key);
             }
-            ConnectionKind::Client { .. } => self.handle_response(key, got),
+            ConnectionKind::Client { .. } => self.handle_response(key, outcome),
             ConnectionKind::PeerInbound => {
-                self.receive_frames(key, PeerLink::Inbound(key as u64), got)
+                self.receive_frames(key, PeerLink::Inbound(key as u64), outcome);
+            }
+            ConnectionKind::PeerOutbound(index) => {
+                self.receive_frames(key, PeerLink::Outbound(index), outcome);
             }
-            ConnectionKind::PeerOutbound(i) => self.receive_frames(key, PeerLink::Outbound(i), got),
-        }
-    }
-
-    /// Closes what is past its deadline and redials peers.
-    fn run_timers(&mut self) {
-        let now = self.now_ms();
-        let gap = now.saturating_sub(std::mem::replace(&mut self.timers_ran_at, now));
-        if gap >= PROCESS_PAUSE_THRESHOLD_MS {
-            return self.extend_deadlines(gap);
-        }
-        self.close_timed_out_calls(now);
-        if now >= self.last_sweep_at + 1_000 {
-            self.last_sweep_at = now;
-            self.close_expired_connections(now);
-            self.dial_peers(now);
-        }
-    }
-
-    /// The process stood still: what has come meanwhile is read before anything counts as late, and the
-    /// admission limit learns nothing from requests that waited.
-    fn extend_deadlines(&mut self, gap: u64) {
-        for c in self.connections.values_mut() {
-            c.deadline += gap;
-            c.request_received_at += gap;
-        }
-    }
-
-    fn close_timed_out_calls(&mut self, now: u64) {
-        let late: Vec<usize> = self
-            .calls_in_progress
-            .values()
-            .copied()
-            .filter(|key| self.connections.get(key).is_some_and(|c| now >= c.deadline))
-            .collect();
-        for key in late {
-            self.close_connection(key);
-        }
-    }
-
-    /// Closes connections past their deadline, except while the core owes an answer.
-    fn close_expired_connections(&mut self, now: u64) {
-        let old: Vec<usize> = self
-            .connections
-            .iter()
-            .filter(|(_, c)| {
-                now >= c.deadline
-                    && !matches!(
-                        c.kind,
-                        ConnectionKind::Server {
-                            request_in_progress: true,
-                            ..
-                        }
-                    )
-            })
-            .map(|(key, _)| *key)
-            .collect();
-        for key in old {
-            self.close_connection(key);
         }
     }
 }
--- a/crates/net/src/event_loop/peer.rs
+++ b/crates/net/src/event_loop/peer.rs
@@ -10,80 +10,101 @@
 use stonegw_wire::frame::Frame;
 use stonegw_wire::Parsed;
 
+/// A peer as this node dials it.
+pub(super) struct Peer {
+    /// IP address and port.
+    pub(super) addr: String,
+    pub(super) outbound: OutboundLink,
+}
+
+/// The link that this node opens to a peer.
+#[derive(Clone, Copy)]
+pub(super) enum OutboundLink {
+    /// Connecting or connected, by connection key.
+    Opened(usize),
+    /// Closed; dialed again at this time.
+    RedialAt(u64),
+}
+
 impl EventLoop {
     /// Queues a frame for a peer; without a connection the frame is dropped.
-    pub fn send_frame(&mut self, to: PeerLink, frame: &Frame) {
-        let key = match to {
-            PeerLink::Outbound(i) => match self.peer_links[i] {
-                Ok(key) => key,
-                Err(_) => return,
+    pub fn send_frame(&mut self, link: PeerLink, frame: &Frame) {
+        let key = match link {
+            PeerLink::Outbound(index) => match self.peers[index].outbound {
+                OutboundLink::Opened(key) => key,
+                OutboundLink::RedialAt(_) => return,
             },
             PeerLink::Inbound(key) => key as usize,
         };
-        let Some(c) = self.connections.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        frame.write(&mut c.output);
-        if c.output.len() > MAX_PEER_BACKLOG_BYTES {
+        frame.write(&mut connection.output);
+        if connection.output.len() > MAX_PEER_BACKLOG_BYTES {
             log::warn!("a peer stopped reading");
             return self.close_connection(key);
         }
-        if !c.is_connecting && self.unwritten_connections.last() != Some(&key) {
+        if !connection.is_connecting && self.unwritten_connections.last() != Some(&key) {
             self.unwritten_connections.push(key);
         }
     }
 
-    /// Parses the frames that have arrived, after a read with the outcome `got`.
-    pub(super) fn receive_frames(&mut self, key: usize, from: PeerLink, got: ReadOutcome) {
+    /// Parses the frames that have arrived, after a read.
+    pub(super) fn receive_frames(&mut self, key: usize, link: PeerLink, outcome: ReadOutcome) {
         let now = self.now_ms();
         loop {
-            let Some(c) = self.connections.get_mut(&key) else {
+            let Some(connection) = self.connections.get_mut(&key) else {
                 return;
             };
-            match Frame::parse(&c.input) {
+            match Frame::parse(&connection.input) {
                 Ok(Some(Parsed {
                     message: frame,
                     consumed_bytes,
                 })) => {
-                    c.input.drain(..consumed_bytes);
-                    c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
+                    connection.input.drain(..consumed_bytes);
+                    connection.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
                     self.pending_events
-                        .push(NetworkEvent::Frame { link: from, frame });
+                        .push(NetworkEvent::Frame { link, frame });
                 }
                 Ok(None) => break,
-                Err(e) => {
-                    log::warn!("invalid frame from {from:?}: {e}");
+                Err(error) => {
+                    log::warn!("invalid frame from {link:?}: {error}");
                     return self.close_connection(key);
                 }
             }
         }
-        if got == ReadOutcome::Closed {
+        if outcome == ReadOutcome::Closed {
             self.close_connection(key);
         }
     }
 
-    /// Connects to every peer whose redial time has come; `now` in ms.
+    /// Connects to every peer whose time to redial has come.
     pub(super) fn dial_peers(&mut self, now: u64) {
-        for i in 0..self.peer_links.len() {
-            let due = matches!(self.peer_links[i], Err(at) if now >= at);
-            if !due {
-                continue;
+        for index in 0..self.peers.len() {
+            let is_due = match self.peers[index].outbound {
+                OutboundLink::Opened(_) => false,
+                OutboundLink::RedialAt(redial_at) => now >= redial_at,
+            };
+            if is_due {
+                self.dial_peer(index, now);
             }
-            self.peer_links[i] = Err(now + PEER_REDIAL_INTERVAL_MS);
-            match start_connect(&self.peer_addrs[i]) {
-                Ok(stream) => {
-                    let mut c = Connection::new(
-                        stream,
-                        ConnectionKind::PeerOutbound(i),
-                        now + REQUEST_READ_TIMEOUT_MS,
-                    );
-                    c.is_connecting = true;
-                    if let Some(key) = self.register_connection(c) {
-                        self.peer_links[i] = Ok(key);
-                    }
-                }
-                Err(e) => log::debug!("no connection to {}: {e}", self.peer_addrs[i]),
+        }
+    }
+
+    fn dial_peer(&mut self, index: usize, now: u64) {
+        self.peers[index].outbound = OutboundLink::RedialAt(now + PEER_REDIAL_INTERVAL_MS);
+        let stream = match start_connect(&self.peers[index].addr) {
+            Ok(stream) => stream,
+            Err(error) => {
+                log::debug!("no connection to {}: {error}", self.peers[index].addr);
+                return;
             }
+        };
+        let kind = ConnectionKind::PeerOutbound(index);
+        let mut connection = Connection::new(stream, kind, now + REQUEST_READ_TIMEOUT_MS);
+        connection.is_connecting = true;
+        if let Some(key) = self.register_connection(connection) {
+            self.peers[index].outbound = OutboundLink::Opened(key);
         }
     }
 }
--- a/crates/net/src/event_loop/registry.rs
+++ b/crates/net/src/event_loop/registry.rs
@@ -1,13 +1,14 @@
 //! Registers, writes and closes connections.
+use super::peer::OutboundLink;
 use super::EventLoop;
 use crate::connection::{Connection, ConnectionKind};
 use crate::event::{CallFailure, NetworkEvent, PeerLink};
 use polling::{Event, PollMode};
 use stonegw_constants::PEER_REDIAL_INTERVAL_MS;
 
-/// The events to wait for: reads, and writes if `writes`.
-fn poll_interest(key: usize, writes: bool) -> Event {
-    if writes {
+/// The events to wait for: reads always, writes if something waits to be sent.
+fn poll_interest(key: usize, wants_write: bool) -> Event {
+    if wants_write {
         Event::all(key)
     } else {
         Event::readable(key)
@@ -15,11 +16,13 @@
 }
 
 impl EventLoop {
-    /// Registers a connection with the poller and returns its key.
-    pub(super) fn register_connection(&mut self, c: Connection) -> Option<usize> {
+    /// Registers a connection with the poller and returns its key; `None` if that failed.
+    pub(super) fn register_connection(&mut self, mut connection: Connection) -> Option<usize> {
         let key = self.next_key;
         self.next_key += 1;
-        let interest = poll_interest(key, c.is_connecting);
+        // A write event shows the end of a connection attempt.
+        connection.wants_write = connection.is_connecting;
+        let interest = poll_interest(key, connection.wants_write);
         #[allow(
             unsafe_code,
             reason = "the poller takes raw sockets whose owner must outlive them"
@@ -27,47 +30,47 @@
         // SAFETY: `close_connection` deletes the stream from the poller before it is dropped.
         let added = unsafe {
             self.poller
-                .add_with_mode(&c.stream, interest, PollMode::Level)
+                .add_with_mode(&connection.stream, interest, PollMode::Level)
         };
-        if let Err(e) = added {
-            log::warn!("cannot poll a socket: {e}");
+        if let Err(error) = added {
+            log::warn!("cannot poll a socket: {error}");
             return None;
         }
-        let mut c = c;
-        c.wants_write = c.is_connecting;
-        self.connections.insert(key, c);
+        self.connections.insert(key, connection);
         Some(key)
     }
 
     /// Closes a connection and reports what ends with it.
     pub(super) fn close_connection(&mut self, key: usize) {
-        let Some(c) = self.connections.remove(&key) else {
+        let Some(connection) = self.connections.remove(&key) else {
             return;
         };
-        let _ = self.poller.delete(&c.stream);
-        match c.kind {
+        let _ = self.poller.delete(&connection.stream);
+        match connection.kind {
             ConnectionKind::Server { .. } => {
                 self.is_accept_paused = false;
-                if c.counts_toward_admission {
+                if connection.counts_toward_admission {
                     self.admission.release_unmeasured();
                 }
             }
             ConnectionKind::Client {
-                remote_addr: addr,
-                call_id: call,
+                remote_addr,
+                call_id,
             } => {
-                let why = if c.is_connecting || c.bytes_sent == 0 {
+                let is_unsent = connection.is_connecting || connection.bytes_sent == 0;
+                let failure = if is_unsent {
                     CallFailure::NotSent
                 } else {
                     CallFailure::OutcomeUnknown
                 };
-                self.forget_client_connection(key, &addr, call, why);
+                self.forget_client_connection(key, &remote_addr, call_id, failure);
             }
-            ConnectionKind::PeerOutbound(i) => {
-                self.peer_links[i] = Err(self.now_ms() + PEER_REDIAL_INTERVAL_MS);
-                if !c.is_connecting {
+            ConnectionKind::PeerOutbound(index) => {
+                let redial_at = self.now_ms() + PEER_REDIAL_INTERVAL_MS;
+                self.peers[index].outbound = OutboundLink::RedialAt(redial_at);
+                if !connection.is_connecting {
                     self.pending_events
-                        .push(NetworkEvent::LinkDown(PeerLink::Outbound(i)));
+                        .push(NetworkEvent::LinkDown(PeerLink::Outbound(index)));
                 }
             }
             ConnectionKind::PeerInbound => self
@@ -80,43 +83,42 @@
     fn forget_client_connection(
         &mut self,
         key: usize,
-        addr: &str,
-        call: Option<u64>,
-        why: CallFailure,
+        remote_addr: &str,
+        call_id: Option<u64>,
+        failure: CallFailure,
     ) {
-        if let Some(list) = self.idle_connections.get_mut(addr) {
-            list.retain(|i| *i != key);
+        if let Some(idle_keys) = self.idle_connections.get_mut(remote_addr) {
+            idle_keys.retain(|idle_key| *idle_key != key);
         }
-        if let Some(call) = call {
-            self.calls_in_progress.remove(&call);
-            self.report_call_failure(call, why);
+        if let Some(call_id) = call_id {
+            self.calls_in_progress.remove(&call_id);
+            self.report_call_failure(call_id, failure);
         }
     }
 
-    /// Writes what is due and asks for write events only while something is left.
+    /// Sends pending output, and watches for writability only while some is left.
     pub(super) fn write_output(&mut self, key: usize) {
-        let Some(c) = self.connections.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        if !c.write_pending() {
+        if connection.write_pending().is_err() {
             return self.close_connection(key);
         }
-        let left = !c.output.is_empty();
-        let answered_last = ConnectionKind::Server {
+        let has_output = !connection.output.is_empty();
+        let has_sent_last_reply = ConnectionKind::Server {
             request_in_progress: false,
             close_after_reply: true,
         };
-        if !left && c.kind == answered_last {
+        if !has_output && connection.kind == has_sent_last_reply {
             return self.close_connection(key);
         }
-        if left != c.wants_write {
-            c.wants_write = left;
-            let interest = poll_interest(key, left);
-            if self
-                .poller
-                .modify_with_mode(&c.stream, interest, PollMode::Level)
-                .is_err()
-            {
+        if has_output != connection.wants_write {
+            connection.wants_write = has_output;
+            let interest = poll_interest(key, has_output);
+            let modified =
+                self.poller
+                    .modify_with_mode(&connection.stream, interest, PollMode::Level);
+            if modified.is_err() {
                 self.close_connection(key);
             }
         }
--- a/crates/net/src/event_loop/server.rs
+++ b/crates/net/src/event_loop/server.rs
@@ -10,82 +10,91 @@
 use stonegw_wire::msg::{encode, ErrorBody};
 use stonegw_wire::Parsed;
 
+/// Start of the paths that the admission limit covers: all requests of users, none of workers.
+const USER_PATH_PREFIX: &str = "/submissions";
+
 impl EventLoop {
-    /// Answers request `id`; `retry_after_s` in seconds.
-    pub fn reply(&mut self, id: u64, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
+    /// Replies to a request; `retry_after_s` in seconds.
+    pub fn reply(&mut self, request_id: u64, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let now = self.now_ms();
-        let key = id as usize;
-        let Some(c) = self.connections.get_mut(&key) else {
+        let key = request_id as usize;
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let ConnectionKind::Server {
-            request_in_progress: busy,
-            close_after_reply: close,
-        } = &mut c.kind
+            request_in_progress,
+            close_after_reply,
+        } = &mut connection.kind
         else {
             return;
         };
-        *busy = false;
-        http::write_response(&mut c.output, status, retry_after_s, *close, body);
-        c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
-        if c.counts_toward_admission {
-            c.counts_toward_admission = false;
-            self.admission
-                .record_completion(now, now.saturating_sub(c.request_received_at));
+        *request_in_progress = false;
+        http::write_response(
+            &mut connection.output,
+            status,
+            retry_after_s,
+            *close_after_reply,
+            body,
+        );
+        connection.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
+        if connection.counts_toward_admission {
+            connection.counts_toward_admission = false;
+            let latency_ms = now.saturating_sub(connection.request_received_at);
+            self.admission.record_completion(now, latency_ms);
         }
         self.unwritten_connections.push(key);
         // The next request may already be here.
         self.serve_next_request(key);
     }
 
-    /// Parses the next request of an idle connection.
+    /// Parses the next request, unless one is in progress.
     pub(super) fn serve_next_request(&mut self, key: usize) {
         let now = self.now_ms();
-        let Some(c) = self.connections.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let ConnectionKind::Server {
-            request_in_progress: busy,
-            close_after_reply: close,
-        } = &mut c.kind
+            request_in_progress,
+            close_after_reply,
+        } = &mut connection.kind
         else {
             return;
         };
-        if *busy || c.input.is_empty() {
+        if *request_in_progress || connection.input.is_empty() {
             return;
         }
-        match http::parse_request(&c.input, MAX_REQUEST_BODY_BYTES) {
+        match http::parse_request(&connection.input, MAX_REQUEST_BODY_BYTES) {
             Ok(None) => {
-                // From its first byte a request has so long to arrive.
-                c.deadline = c.deadline.min(now + REQUEST_READ_TIMEOUT_MS);
+                // The time to receive a request counts from its first byte.
+                connection.deadline = connection.deadline.min(now + REQUEST_READ_TIMEOUT_MS);
             }
             Ok(Some(Parsed {
                 message: request,
                 consumed_bytes,
             })) => {
-                c.input.drain(..consumed_bytes);
-                *busy = true;
-                *close = request.connection_close;
-                c.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
-                c.request_received_at = now;
+                connection.input.drain(..consumed_bytes);
+                *request_in_progress = true;
+                *close_after_reply = request.connection_close;
+                connection.deadline = now + IDLE_CONNECTION_TIMEOUT_MS;
+                connection.request_received_at = now;
                 self.admit_request(key, request, now);
             }
-            Err(e) => self.reject_request(key, e),
+            Err(error) => self.reject_request(key, error),
         }
     }
 
-    /// Hands a request to the core, or turns a user's away while too many are in progress.
+    /// Hands a request to the core, or rejects a user's while too many are in progress.
     fn admit_request(&mut self, key: usize, request: Request, now: u64) {
-        let user = request.path.starts_with("/submissions");
-        let question = (request.method == "GET").then_some(request.path.as_str());
-        if user && !self.admission.try_admit(now, question) {
+        let is_user_request = request.path.starts_with(USER_PATH_PREFIX);
+        let status_query = (request.method == "GET").then_some(request.path.as_str());
+        if is_user_request && !self.admission.try_admit(now, status_query) {
             let body = encode(&ErrorBody {
                 error: "too many requests in progress".into(),
             });
             return self.reply(key as u64, 429, Some(RETRY_AFTER_OVERLOAD_S), &body);
         }
-        if let Some(c) = self.connections.get_mut(&key) {
-            c.counts_toward_admission = user;
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.counts_toward_admission = is_user_request;
         }
         self.pending_events.push(NetworkEvent::Request {
             request_id: key as u64,
@@ -93,20 +102,20 @@
         });
     }
 
-    /// Answers a malformed request and closes the connection.
-    fn reject_request(&mut self, key: usize, e: HttpError) {
-        let Some(c) = self.connections.get_mut(&key) else {
+    /// Responds to a malformed request and closes the connection.
+    fn reject_request(&mut self, key: usize, error: HttpError) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let body = encode(&ErrorBody {
-            error: e.to_string(),
+            error: error.to_string(),
         });
-        c.input.clear();
-        c.kind = ConnectionKind::Server {
+        connection.input.clear();
+        connection.kind = ConnectionKind::Server {
             request_in_progress: false,
             close_after_reply: true,
         };
-        http::write_response(&mut c.output, e.status(), None, true, &body);
+        http::write_response(&mut connection.output, error.status(), None, true, &body);
         self.write_output(key);
     }
 }
--- a/crates/net/src/event_loop/socket.rs
+++ b/crates/net/src/event_loop/socket.rs
@@ -4,6 +4,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use stonegw_constants::LISTEN_BACKLOG;
 
+/// Linux: a connection attempt on a non-blocking socket is under way.
+const EINPROGRESS: i32 = 115;
+
 fn open_socket(addr: SocketAddr) -> io::Result<Socket> {
     Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))
 }
@@ -18,7 +21,7 @@
     Ok(socket.into())
 }
 
-/// Starts a connection attempt; a write event tells its end.
+/// Starts a connection attempt; a write event shows its end.
 pub(super) fn start_connect(addr: &str) -> io::Result<TcpStream> {
     let addr: SocketAddr = addr
         .parse()
@@ -28,8 +31,12 @@
     let _ = socket.set_tcp_nodelay(true);
     match socket.connect(&addr.into()) {
         Ok(()) => {}
-        Err(e) if e.raw_os_error() == Some(115) || e.kind() == io::ErrorKind::WouldBlock => {}
-        Err(e) => return Err(e),
+        Err(error) if is_in_progress(&error) => {}
+        Err(error) => return Err(error),
     }
     Ok(socket.into())
 }
+
+fn is_in_progress(error: &io::Error) -> bool {
+    error.raw_os_error() == Some(EINPROGRESS) || error.kind() == io::ErrorKind::WouldBlock
+}
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -6,5 +6,5 @@
 mod event;
 mod event_loop;
 
-pub use event::{CallFailure, NetworkEvent, PeerLink};
+pub use event::{CallFailure, CallResponse, NetworkEvent, OutgoingCall, PeerLink, SocketReserve};
 pub use event_loop::EventLoop;
--- a/crates/stonegwd/src/main.rs
+++ b/crates/stonegwd/src/main.rs
@@ -1,16 +1,22 @@
 //! The stonegw controller daemon.
+mod convert;
 mod settings;
 
 use clap::Parser;
+use convert::{to_controller_event, to_peer_link};
 use rand::{Rng, SeedableRng};
+use settings::LoadedSettings;
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 use stonegw_constants::{SLOW_TURN_THRESHOLD_MS, STALE_TURN_THRESHOLD_MS};
-use stonegw_control::api::{Action, CallError, Event, Link, Now, Target};
+use stonegw_control::api::{Action, Event, Now, Target};
 use stonegw_control::node::Node;
-use stonegw_net::{CallFailure, EventLoop, NetworkEvent};
+use stonegw_net::{CallFailure, EventLoop, OutgoingCall, SocketReserve};
+
+/// Exit status for settings that cannot be used.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// Controller of the stonegw cluster scheduler.
 #[derive(Parser)]
@@ -31,13 +37,13 @@
     let args = Args::parse();
     let loaded = match settings::load_settings(&args.config, args.tuning.as_deref()) {
         Ok(loaded) => loaded,
-        Err(why) => {
-            eprintln!("stonegwd: {why}");
-            return ExitCode::from(2);
+        Err(error) => {
+            eprintln!("stonegwd: {error}");
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
-        // Whoever reads may stop early; the check has passed all the same.
+        // A reader that stops early is no failure of the check.
         let _ = writeln!(std::io::stdout(), "{:#?}", loaded.settings);
         return ExitCode::SUCCESS;
     }
@@ -47,130 +53,124 @@
         .init();
     match run_controller(loaded) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            log::error!("{e}");
+        Err(error) => {
+            log::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run_controller(loaded: settings::LoadedSettings) -> std::io::Result<()> {
-    let settings::LoadedSettings {
-        settings: core,
-        client_listen,
-        cluster_listen,
-        peer_endpoints,
-        cloud_endpoint: cloud,
-        store_endpoint: state,
-    } = loaded;
-    log::info!("{} starts", core.node_name);
-    for team in &core.teams {
+/// Feeds what happens on the sockets to the controller, and carries out what it decides.
+fn run_controller(loaded: LoadedSettings) -> std::io::Result<()> {
+    let settings = loaded.settings;
+    log::info!("{} starts", settings.node_name);
+    for team in &settings.teams {
         log::debug!("{team:?}");
     }
-    let mut net = EventLoop::new(
-        client_listen,
-        cluster_listen,
-        peer_endpoints,
-        core.max_sockets,
+    let mut event_loop = EventLoop::new(
+        loaded.client_listen,
+        loaded.cluster_listen,
+        loaded.peer_endpoints,
+        settings.max_sockets,
     )?;
-    let mut node = Node::new(core, rand::rngs::SmallRng::from_os_rng().random());
+    let services = ServiceEndpoints {
+        cloud: loaded.cloud_endpoint,
+        store: loaded.store_endpoint,
+    };
+    let seed = rand::rngs::SmallRng::from_os_rng().random();
+    let mut node = Node::new(settings, seed);
     let mut events = vec![Event::Start];
     loop {
         if events.is_empty() {
             events.push(Event::Tick);
         }
-        let now = Now {
-            monotonic_ms: net.now_ms(),
-            wall_ms: SystemTime::now()
-                .duration_since(UNIX_EPOCH)
-                .map_or(0, |d| d.as_millis() as u64),
-        };
-        let (came, began) = (events.len(), net.now_ms());
-        let actions = node.handle(now, events.drain(..));
-        let took = net.now_ms() - began;
-        if took > SLOW_TURN_THRESHOLD_MS {
-            log::info!("a turn of {came} events took {took} ms");
-        }
-        for action in actions {
-            // Should the process have stood still meanwhile, the lease on which the cloud and the
-            // workers may be told something may be over.
-            let stale = net.now_ms() > now.monotonic_ms + STALE_TURN_THRESHOLD_MS;
-            perform_action(&mut net, action, &cloud, &state, stale);
+        run_turn(&mut event_loop, &mut node, &services, &mut events);
+        events.extend(event_loop.poll()?.into_iter().map(to_controller_event));
+    }
+}
+
+/// Has the controller handle the events and carries out its actions. Leaves `events` empty.
+fn run_turn(
+    event_loop: &mut EventLoop,
+    node: &mut Node,
+    services: &ServiceEndpoints,
+    events: &mut Vec<Event>,
+) {
+    let now = Now {
+        monotonic_ms: event_loop.now_ms(),
+        wall_ms: wall_clock_ms(),
+    };
+    let event_count = events.len();
+    let started_at = event_loop.now_ms();
+    let actions = node.handle(now, events.drain(..));
+    let elapsed_ms = event_loop.now_ms() - started_at;
+    if elapsed_ms > SLOW_TURN_THRESHOLD_MS {
+        log::info!("a turn of {event_count} events took {elapsed_ms} ms");
+    }
+    for action in actions {
+        // After a pause of the process, the leader's lease may have expired since the decision: the
+        // cloud and the workers must not be told of it any more.
+        let is_stale = event_loop.now_ms() > now.monotonic_ms + STALE_TURN_THRESHOLD_MS;
+        match action {
+            Action::Call {
+                call_id,
+                target,
+                method,
+                path,
+                ..
+            } if is_stale && target != Target::Store => {
+                log::warn!("the process was paused; {method} {path} is not sent");
+                event_loop.report_call_failure(call_id, CallFailure::NotSent);
+            }
+            action => perform_action(event_loop, services, action),
         }
-        events.extend(net.poll()?.into_iter().map(to_controller_event));
     }
 }
 
-fn perform_action(net: &mut EventLoop, action: Action, cloud: &str, state: &str, stale: bool) {
+/// Milliseconds since the Unix epoch.
+fn wall_clock_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
+}
+
+/// IP address and port of each service.
+struct ServiceEndpoints {
+    cloud: String,
+    store: String,
+}
+
+fn perform_action(event_loop: &mut EventLoop, services: &ServiceEndpoints, action: Action) {
     match action {
         Action::Reply {
-            request_id: id,
+            request_id,
             status,
             retry_after_s,
             body,
-        } => net.reply(id, status, retry_after_s, &body),
+        } => event_loop.reply(request_id, status, retry_after_s, &body),
         Action::Call {
-            call_id: call,
+            call_id,
             target,
             method,
             path,
             body,
             timeout_ms,
         } => {
-            if stale && target != Target::Store {
-                log::warn!("stood still; {method} {path} is not sent");
-                return net.report_call_failure(call, CallFailure::NotSent);
-            }
-            let addr = match &target {
-                Target::Store => state,
-                Target::Cloud => cloud,
-                Target::Worker(addr) => addr,
+            let (remote_addr, reserve) = match &target {
+                Target::Store => (&services.store, SocketReserve::Services),
+                Target::Cloud => (&services.cloud, SocketReserve::Services),
+                Target::Worker(addr) => (addr, SocketReserve::Workers),
             };
-            let vital = !matches!(target, Target::Worker(_));
-            net.start_call(call, addr, vital, method, &path, &body, timeout_ms);
+            event_loop.start_call(&OutgoingCall {
+                call_id,
+                remote_addr,
+                reserve,
+                method,
+                path: &path,
+                body: &body,
+                timeout_ms,
+            });
         }
-        Action::SendFrame { to, frame } => net.send_frame(
-            match to {
-                Link::Outbound(i) => stonegw_net::PeerLink::Outbound(i),
-                Link::Inbound(n) => stonegw_net::PeerLink::Inbound(n),
-            },
-            &frame,
-        ),
-    }
-}
-
-fn to_controller_link(l: stonegw_net::PeerLink) -> Link {
-    match l {
-        stonegw_net::PeerLink::Outbound(i) => Link::Outbound(i),
-        stonegw_net::PeerLink::Inbound(n) => Link::Inbound(n),
-    }
-}
-
-fn to_controller_event(event: NetworkEvent) -> Event {
-    match event {
-        NetworkEvent::Request {
-            request_id: id,
-            request,
-        } => Event::Request {
-            request_id: id,
-            request,
-        },
-        NetworkEvent::CallDone {
-            call_id: call,
-            result,
-        } => Event::CallDone {
-            call_id: call,
-            result: result.map_err(|e| match e {
-                CallFailure::NotSent => CallError::NotSent,
-                CallFailure::OutcomeUnknown => CallError::OutcomeUnknown,
-                CallFailure::ResponseTooLarge => CallError::ResponseTooLarge,
-            }),
-        },
-        NetworkEvent::Frame { link: from, frame } => Event::Frame {
-            from: to_controller_link(from),
-            frame,
-        },
-        NetworkEvent::LinkUp(l) => Event::LinkUp(to_controller_link(l)),
-        NetworkEvent::LinkDown(l) => Event::LinkDown(to_controller_link(l)),
+        Action::SendFrame { to, frame } => event_loop.send_frame(to_peer_link(to), &frame),
     }
 }
--- /dev/null
+++ b/crates/stonegwd/src/settings/mod.rs
@@ -0,0 +1,60 @@
+//! Reads and checks the platform's settings (TOML) and the operators' own (HCL).
+mod check;
+mod error;
+mod platform;
+mod platform_file;
+#[cfg(test)]
+mod tests;
+mod tuning;
+
+pub use error::SettingsError;
+
+use error::InvalidSettings;
+use platform::parse_platform_settings;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::Path;
+use stonegw_control::settings::{Settings, Tuning};
+use tuning::parse_tuning;
+
+/// Everything that the daemon needs to know, checked.
+pub struct LoadedSettings {
+    /// The settings of the controller's core.
+    pub settings: Settings,
+    /// Where users and workers connect.
+    pub client_listen: SocketAddr,
+    /// Where the other controllers connect.
+    pub cluster_listen: SocketAddr,
+    /// IP address and port of each other controller, in the order of `settings.peers`.
+    pub peer_endpoints: Vec<String>,
+    /// IP address and port of the cloud.
+    pub cloud_endpoint: String,
+    /// IP address and port of the key-value store.
+    pub store_endpoint: String,
+}
+
+/// Reads and checks the platform's settings and, if there are any, the operators' own.
+pub fn load_settings(
+    config: &Path,
+    tuning: Option<&Path>,
+) -> Result<LoadedSettings, SettingsError> {
+    let tuning = match tuning {
+        Some(path) => load_file(path, parse_tuning)?,
+        None => Tuning::default(),
+    };
+    load_file(config, |text| parse_platform_settings(text, tuning))
+}
+
+fn load_file<T>(
+    path: &Path,
+    parse: impl FnOnce(&str) -> Result<T, InvalidSettings>,
+) -> Result<T, SettingsError> {
+    let text = fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
+        path: path.to_owned(),
+        source,
+    })?;
+    parse(&text).map_err(|source| SettingsError::Invalid {
+        path: path.to_owned(),
+        source,
+    })
+}
--- a/crates/stonegwd/src/settings_tests.rs
+++ b/crates/stonegwd/src/settings/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::platform::parse_platform_settings;
+use super::tuning::parse_tuning;
+use stonegw_control::settings::Tuning;
 
 const VALID_SETTINGS: &str = r#"
     node = "a"
@@ -85,7 +87,8 @@
         let text = VALID_SETTINGS.replacen(from, to, 1);
         let why = parse_platform_settings(&text, Tuning::default())
             .err()
-            .expect(field);
+            .expect(field)
+            .to_string();
         assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
     }
 }
@@ -93,7 +96,9 @@
 fn store_limits_with_next(next: &str) -> Result<(f64, f64, usize, usize), String> {
     let to = format!("txn_ops = 32\n{next}");
     let text = VALID_SETTINGS.replacen("txn_ops = 32", &to, 1);
-    let core = parse_platform_settings(&text, Tuning::default())?.settings;
+    let core = parse_platform_settings(&text, Tuning::default())
+        .map_err(|error| error.to_string())?
+        .settings;
     let rates = (core.store_requests_per_s, core.store_writes_per_s);
     Ok((
         rates.0,
@@ -103,7 +108,7 @@
     ))
 }
 
-/// The state service lowers its limits at a moment that nobody announces: whoever kept to the present
+/// The key-value store lowers its limits at an unannounced time: a controller that kept to the present
 /// ones until then would be refused in the middle of its work.
 #[test]
 fn the_lower_of_present_and_next_limits_holds() {
@@ -133,20 +138,21 @@
 
 #[test]
 fn the_operators_file_is_strict() {
-    let t = parse_operator_tuning("spare_tasks = 4\nidle_boots = 1.5\n").unwrap();
+    let t = parse_tuning("spare_tasks = 4\nidle_boots = 1.5\n").unwrap();
     assert_eq!((t.headroom_tasks, t.idle_retention_boots), (4.0, 1.5));
-    assert!(parse_operator_tuning("spare_task = 4\n").is_err());
-    assert!(parse_operator_tuning("slack_use = 0\n")
+    assert!(parse_tuning("spare_task = 4\n").is_err());
+    assert!(parse_tuning("slack_use = 0\n")
         .unwrap_err()
+        .to_string()
         .contains("slack_use"));
     assert_eq!(
-        parse_operator_tuning("").unwrap().scheduling_interval_ms,
+        parse_tuning("").unwrap().scheduling_interval_ms,
         Tuning::default().scheduling_interval_ms
     );
 }
 
-/// Guests come without a guarantee and without a limit: 0 in both is none. Taken as a limit of nothing, it had
-/// all their jobs refused as ones that can never run.
+/// Guests have neither a quota nor a limit: 0 in both means none. Taken as a limit of nothing, it had
+/// all their jobs refused as infeasible.
 #[test]
 fn a_team_without_limits_is_a_guest_and_uses_what_is_left() {
     let limits = |cpus_max: f64, gpus_max: f64| {
--- a/crates/wire/src/msg/worker.rs
+++ b/crates/wire/src/msg/worker.rs
@@ -90,10 +90,10 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub is_spot: bool,
-    /// Incarnation of the worker: a higher number after each restart.
+    /// Incarnation of the worker: starts at 1 and increases each time its lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Sequence number of the heartbeat within the incarnation.
+    /// Sequence number: of two heartbeats the one with the larger (incarnation, sequence) is newer.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
