--- a/crates/wire/src/msg/encoding.rs
+++ b/crates/wire/src/msg/encoding.rs
@@ -9,7 +9,8 @@
     /// The body is not a MessagePack map.
     #[error("not a map")]
     NotAMap,
-    /// A field is missing, has the wrong type or is cut short; the text names it.
+    /// A field is missing or has the wrong type, or the body is cut short; the text is the decoder's
+    /// and names missing fields.
     #[error(transparent)]
     InvalidField(#[from] rmp_serde::decode::Error),
     /// More bytes follow the map.
