--- a/crates/net/tests/admission.rs
+++ b/crates/net/tests/admission.rs
@@ -5,15 +5,15 @@
 fn the_limit_follows_the_measured_times() {
     let mut limiter = AdmissionLimiter::default();
     let start = limiter.limit();
-    for t in 0..500 {
-        assert!(limiter.try_admit(t * 10, None));
-        limiter.record_completion(t * 10, 20);
+    for step in 0..500 {
+        assert!(limiter.try_admit(step * 10, None));
+        limiter.record_completion(step * 10, 20);
     }
     let grown = limiter.limit();
     assert!(grown > start);
-    for t in 0..20 {
+    for step in 0..20 {
         limiter.try_admit(0, None);
-        limiter.record_completion(10_000 + t * 2_000, 1_500);
+        limiter.record_completion(10_000 + step * 2_000, 1_500);
     }
     assert!(
         limiter.limit() < grown * 0.8,
@@ -21,29 +21,29 @@
         limiter.limit()
     );
     assert!(limiter.limit() >= ADMISSION_LIMIT_MIN);
-    let mut taken = 0;
+    let mut admitted = 0;
     while limiter.try_admit(0, None) {
-        taken += 1;
+        admitted += 1;
     }
-    assert!((taken as f64 - limiter.limit()).abs() <= 1.0);
+    assert!((admitted as f64 - limiter.limit()).abs() <= 1.0);
 }
 
 #[test]
-fn no_status_query_is_rejected_again_and_again() {
+fn no_question_is_turned_away_again_and_again() {
     let mut limiter = AdmissionLimiter::default();
     while limiter.try_admit(0, None) {}
-    // All places stay taken; a job's user asks every five seconds.
+    // The limit stays used up; a job's user queries every five seconds.
     let asked = (0..75_000).step_by(5_000);
     let answered = asked
-        .filter(|t| limiter.try_admit(*t, Some("/submissions/run-1")))
+        .filter(|now_ms| limiter.try_admit(*now_ms, Some("/submissions/run-1")))
         .count();
     assert!(answered >= 5, "{answered}");
     assert!(!limiter.try_admit(75_000, Some("/submissions/run-2")));
 }
 
-/// Users who ask many times as often must not keep submissions and cancellations out.
+/// Users who query many times as often must not keep submissions and cancellations out.
 #[test]
-fn a_storm_of_status_queries_leaves_capacity_for_submissions() {
+fn a_storm_of_questions_leaves_room_for_submissions() {
     let mut limiter = AdmissionLimiter::default();
     let admitted = (0..10_000)
         .filter(|n| limiter.try_admit(0, Some(&format!("/submissions/run-{n}"))))
--- a/crates/stonegwd/src/settings/error.rs
+++ b/crates/stonegwd/src/settings/error.rs
@@ -5,7 +5,7 @@
 
 /// Why the settings cannot be loaded.
 #[derive(Debug, Error)]
-pub enum SettingsError {
+pub(crate) enum SettingsError {
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
@@ -26,7 +26,7 @@
 
 /// What is wrong with the content of a settings file. Each text is one line and names the key.
 #[derive(Debug, Error)]
-pub enum InvalidSettings {
+pub(crate) enum InvalidSettings {
     /// The file is not TOML, or not HCL with the known fields.
     #[error("{message}")]
     Syntax {
--- a/crates/stonegwd/src/settings/mod.rs
+++ b/crates/stonegwd/src/settings/mod.rs
@@ -7,7 +7,7 @@
 mod tests;
 mod tuning;
 
-pub use error::SettingsError;
+pub(crate) use error::SettingsError;
 
 use error::InvalidSettings;
 use platform::parse_platform_settings;
@@ -18,23 +18,23 @@
 use tuning::parse_tuning;
 
 /// Everything that the daemon needs to know, checked.
-pub struct LoadedSettings {
+pub(crate) struct LoadedSettings {
     /// The settings of the controller's core.
-    pub settings: Settings,
+    pub(crate) settings: Settings,
     /// Where users and workers connect.
-    pub client_listen: SocketAddr,
+    pub(crate) client_listen: SocketAddr,
     /// Where the other controllers connect.
-    pub cluster_listen: SocketAddr,
+    pub(crate) cluster_listen: SocketAddr,
     /// IP address and port of each other controller, in the order of `settings.peers`.
-    pub peer_endpoints: Vec<String>,
+    pub(crate) peer_endpoints: Vec<String>,
     /// IP address and port of the cloud.
-    pub cloud_endpoint: String,
+    pub(crate) cloud_endpoint: String,
     /// IP address and port of the key-value store.
-    pub store_endpoint: String,
+    pub(crate) store_endpoint: String,
 }
 
 /// Reads and checks the platform's settings and, if there are any, the operators' own.
-pub fn load_settings(
+pub(crate) fn load_settings(
     config: &Path,
     tuning: Option<&Path>,
 ) -> Result<LoadedSettings, SettingsError> {
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-use stonegw_wire::frame::*;
+use stonegw_wire::frame::{to_padded_text, Cancellation, Frame, FrameError, Hello, TaskCounts};
 use stonegw_wire::Parsed;
 
 fn sample_frames() -> Vec<Frame> {
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -1,5 +1,5 @@
 use stonegw_constants::{MAX_HEADERS, MAX_HEAD_BYTES};
-use stonegw_wire::http::*;
+use stonegw_wire::http::{parse_request, parse_response, write_request, write_response, HttpError};
 
 #[test]
 fn a_request_split_at_every_byte_parses_the_same() {
--- a/crates/wire/tests/msg.rs
+++ b/crates/wire/tests/msg.rs
@@ -1,6 +1,6 @@
-use stonegw_wire::msg::*;
+use stonegw_wire::msg::{decode, encode, ErrorBody, JobKind, JobSpec, Priority, MAX_TASKS};
 
-pub fn sample_job_spec() -> JobSpec {
+fn sample_job_spec() -> JobSpec {
     JobSpec {
         id: "run-000412".into(),
         class: "train".into(),
@@ -33,19 +33,19 @@
     );
     type Corruption = fn(&mut JobSpec);
     let bad: [(&str, Corruption); 7] = [
-        ("uid", |s| s.id = "job-1".into()),
-        ("pieces", |s| s.task_count = 0),
-        ("pieces", |s| s.task_count = MAX_TASKS + 1),
-        ("cpus", |s| s.cpus = -1.0),
-        ("memGb", |s| s.memory_gb = f64::NAN),
-        ("dueS", |s| s.deadline_s = Some(f64::INFINITY)),
-        ("crew", |s| s.team.clear()),
+        ("uid", |spec| spec.id = "job-1".into()),
+        ("pieces", |spec| spec.task_count = 0),
+        ("pieces", |spec| spec.task_count = MAX_TASKS + 1),
+        ("cpus", |spec| spec.cpus = -1.0),
+        ("memGb", |spec| spec.memory_gb = f64::NAN),
+        ("dueS", |spec| spec.deadline_s = Some(f64::INFINITY)),
+        ("crew", |spec| spec.team.clear()),
     ];
     for (field, spoil) in bad {
-        let mut s = sample_job_spec();
-        spoil(&mut s);
-        let err = JobSpec::parse(&encode(&s)).unwrap_err().to_string();
-        assert!(err.starts_with(field), "{field}: {err}");
+        let mut spec = sample_job_spec();
+        spoil(&mut spec);
+        let error = JobSpec::parse(&encode(&spec)).unwrap_err().to_string();
+        assert!(error.starts_with(field), "{field}: {error}");
     }
     let mut cut = encode(&sample_job_spec());
     cut.pop();
