--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -8,7 +8,7 @@
 pub(crate) enum ConnectionKind {
     /// Accepted from a user or worker.
     Server {
-        /// A request is with the core and not yet replied to.
+        /// The controller has not yet replied to a request.
         request_in_progress: bool,
         close_after_reply: bool,
     },
--- a/crates/net/src/event_loop/server.rs
+++ b/crates/net/src/event_loop/server.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Hands a request to the core, or rejects a user's while too many are in progress.
+    /// Hands a request to the controller, or rejects a user's while too many are in progress.
     fn admit_request(&mut self, key: usize, request: Request, now: u64) {
         let is_user_request = request.path.starts_with(USER_PATH_PREFIX);
         let status_query = (request.method == "GET").then_some(request.path.as_str());
--- a/crates/stonegwd/src/main.rs
+++ b/crates/stonegwd/src/main.rs
@@ -108,8 +108,8 @@
         log::info!("a turn of {event_count} events took {elapsed_ms} ms");
     }
     for action in actions {
-        // After a pause of the process, the leader's lease may have expired since the decision: the
-        // cloud and the workers must not be told of it any more.
+        // After a pause of the process, the leader's lease may have expired since the decision: it
+        // must not reach the cloud or the workers any more.
         let is_stale = event_loop.now_ms() > now.monotonic_ms + STALE_TURN_THRESHOLD_MS;
         match action {
             Action::Call {
--- a/crates/stonegwd/src/settings/mod.rs
+++ b/crates/stonegwd/src/settings/mod.rs
@@ -19,7 +19,7 @@
 
 /// Everything that the daemon needs to know, checked.
 pub(crate) struct LoadedSettings {
-    /// The settings of the controller's core.
+    /// The settings of the controller.
     pub(crate) settings: Settings,
     /// Where users and workers connect.
     pub(crate) client_listen: SocketAddr,
--- a/crates/stonegwd/src/settings/tests.rs
+++ b/crates/stonegwd/src/settings/tests.rs
@@ -47,11 +47,11 @@
 
 #[test]
 fn wrong_settings_name_the_field() {
-    let Ok(good) = parse_platform_settings(VALID_SETTINGS, Tuning::default()) else {
+    let Ok(loaded) = parse_platform_settings(VALID_SETTINGS, Tuning::default()) else {
         panic!("good settings are refused");
     };
-    let promised: Vec<f64> = good.settings.slo_deadlines("c", 5.0).collect();
-    assert_eq!(promised, [300.0]);
+    let deadlines: Vec<f64> = loaded.settings.slo_deadlines("c", 5.0).collect();
+    assert_eq!(deadlines, [300.0]);
     for (from, to, field) in [
         ("node = \"a\"", "node = \"\"", "node"),
         ("rps = 150.0", "rps = -1.0", "deployment.state.rps"),
@@ -85,41 +85,70 @@
         ),
     ] {
         let text = VALID_SETTINGS.replacen(from, to, 1);
-        let why = parse_platform_settings(&text, Tuning::default())
+        let error = parse_platform_settings(&text, Tuning::default())
             .err()
             .expect(field)
             .to_string();
-        assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
+        assert!(
+            error.contains(field) && !error.contains('\n'),
+            "{field}: {error}"
+        );
     }
 }
 
-fn store_limits_with_next(next: &str) -> Result<(f64, f64, usize, usize), String> {
-    let to = format!("txn_ops = 32\n{next}");
-    let text = VALID_SETTINGS.replacen("txn_ops = 32", &to, 1);
-    let core = parse_platform_settings(&text, Tuning::default())
+#[derive(Debug, PartialEq)]
+struct EffectiveLimits {
+    requests_per_s: f64,
+    writes_per_s: f64,
+    max_value_bytes: usize,
+    max_transaction_writes: usize,
+}
+
+const CURRENT_LIMITS: EffectiveLimits = EffectiveLimits {
+    requests_per_s: 150.0,
+    writes_per_s: 60.0,
+    max_value_bytes: 8192,
+    max_transaction_writes: 32,
+};
+
+fn store_limits_with_next(next: &str) -> Result<EffectiveLimits, String> {
+    let replacement = format!("txn_ops = 32\n{next}");
+    let text = VALID_SETTINGS.replacen("txn_ops = 32", &replacement, 1);
+    let settings = parse_platform_settings(&text, Tuning::default())
         .map_err(|error| error.to_string())?
         .settings;
-    let rates = (core.store_requests_per_s, core.store_writes_per_s);
-    Ok((
-        rates.0,
-        rates.1,
-        core.max_value_bytes,
-        core.max_transaction_writes,
-    ))
+    Ok(EffectiveLimits {
+        requests_per_s: settings.store_requests_per_s,
+        writes_per_s: settings.store_writes_per_s,
+        max_value_bytes: settings.max_value_bytes,
+        max_transaction_writes: settings.max_transaction_writes,
+    })
 }
 
 /// The key-value store lowers its limits at an unannounced time: a controller that kept to the present
 /// ones until then would be refused in the middle of its work.
 #[test]
 fn the_lower_of_present_and_next_limits_holds() {
-    let none = (150.0, 60.0, 8192, 32);
-    assert_eq!(store_limits_with_next(""), Ok(none));
-    assert_eq!(store_limits_with_next("[deployment.state.next]"), Ok(none));
+    assert_eq!(store_limits_with_next(""), Ok(CURRENT_LIMITS));
+    assert_eq!(
+        store_limits_with_next("[deployment.state.next]"),
+        Ok(CURRENT_LIMITS)
+    );
     let all =
         "[deployment.state.next]\nrps = 100.0\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4\n";
-    assert_eq!(store_limits_with_next(all), Ok((100.0, 18.0, 2048, 4)));
+    let all_lower = EffectiveLimits {
+        requests_per_s: 100.0,
+        writes_per_s: 18.0,
+        max_value_bytes: 2048,
+        max_transaction_writes: 4,
+    };
+    assert_eq!(store_limits_with_next(all), Ok(all_lower));
     let some = "next = { value_kb = 2.0, rps = 200.0, txn_ops = 64, later = 1 }";
-    assert_eq!(store_limits_with_next(some), Ok((150.0, 60.0, 2048, 32)));
+    let smaller_values = EffectiveLimits {
+        max_value_bytes: 2048,
+        ..CURRENT_LIMITS
+    };
+    assert_eq!(store_limits_with_next(some), Ok(smaller_values));
 }
 
 #[test]
@@ -131,15 +160,21 @@
         ("txn_ops = 0", "deployment.state.next.txn_ops"),
         ("txn_ops = true", "deployment.state.next.txn_ops"),
     ] {
-        let why = store_limits_with_next(&format!("next = {{ {next} }}")).expect_err(field);
-        assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
+        let error = store_limits_with_next(&format!("next = {{ {next} }}")).expect_err(field);
+        assert!(
+            error.contains(field) && !error.contains('\n'),
+            "{field}: {error}"
+        );
     }
 }
 
 #[test]
 fn the_operators_file_is_strict() {
-    let t = parse_tuning("spare_tasks = 4\nidle_boots = 1.5\n").unwrap();
-    assert_eq!((t.headroom_tasks, t.idle_retention_boots), (4.0, 1.5));
+    let tuning = parse_tuning("spare_tasks = 4\nidle_boots = 1.5\n").unwrap();
+    assert_eq!(
+        (tuning.headroom_tasks, tuning.idle_retention_boots),
+        (4.0, 1.5)
+    );
     assert!(parse_tuning("spare_task = 4\n").is_err());
     assert!(parse_tuning("slack_use = 0\n")
         .unwrap_err()
@@ -156,8 +191,8 @@
 #[test]
 fn a_team_without_limits_is_a_guest_and_uses_what_is_left() {
     let limits = |cpus_max: f64, gpus_max: f64| {
-        let to = format!("cpus_max = {cpus_max:?}\n    gpus_max = {gpus_max:?}");
-        let text = VALID_SETTINGS.replacen("cpus_max = 2.0", &to, 1);
+        let replacement = format!("cpus_max = {cpus_max:?}\n    gpus_max = {gpus_max:?}");
+        let text = VALID_SETTINGS.replacen("cpus_max = 2.0", &replacement, 1);
         let loaded = parse_platform_settings(&text, Tuning::default()).expect("good settings");
         let team = &loaded.settings.teams[0];
         (team.limit_cpus, team.limit_gpus)
--- a/crates/testkit/mutants.sh
+++ b/crates/testkit/mutants.sh
@@ -95,7 +95,7 @@
 mutant gang_stopped_in_time expect "gang/mod.rs" 's/(fn stop_gang.*?)self\.stop_members\(&members,/$1self.stop_members(\&members[..1],/s'
 mutant gang_stop_unheard expect "gang/mod.rs" 's/self\.saves\(job\) && self\.all_reachable\(ctx, &members\)/self.saves(job)/'
 mutant gang_never_whole expect "gang/reserve.rs" 's/filter\(\|_\| slots\.len\(\) == tasks\)/filter(|_| true)/'
-unit_mutant stonegwd the_lower_of_present_and_next_limits_holds settings.rs 's/if next < now \{ next \} else \{ now \}/now/'
+unit_mutant stonegwd the_lower_of_present_and_next_limits_holds settings/check.rs 's/if upcoming < current \{\s+upcoming\s+\} else \{\s+current\s+\}/current/'
 unit_mutant control a_record_above_the_limit_is_divided leader/store.rs 's/self\.split_large\(\);//'
 unit_mutant control a_divided_record_stays leader/machine_records.rs 's/&& !waits\(s\)/\&\& (true || !waits(s))/'
 unit_mutant control a_division_cut_short leader/load.rs 's/if m\.placements\.iter\(\)\.any\(same\) \{/if false \&\& m.placements.iter().any(same) {/'
@@ -127,5 +127,5 @@
 unit_mutant control questions_that_come_together_cost_one_read node/users.rs 's/self\.barrier_at = now \+ k::BARRIER_GAP_MS;/self.barrier_at = now;/'
 unit_mutant control reports_of_many_machines_take_all_that_a_transaction_holds node/via_state.rs 's/k::FAR_SLOTS\.max\(self\.set\.txn_ops \* k::FAR_SLOTS_A_CHANGE\)/k::FAR_SLOTS/'
 unit_mutant control changes_too_many_for_one_answer_are_listed node/elect.rs 's/Err\(CallError::TooLarge\) => Some\(false\)/Err(CallError::TooLarge) => None/'
-unit_mutant net a_storm_of_questions_leaves_room_for_submissions admit.rs 's/self\.limit \* part/self.limit/'
+unit_mutant net a_storm_of_questions_leaves_room_for_submissions admission.rs 's/self\.limit \* usable_fraction/self.limit/'
 exit $bad
