--- a/crates/sched/src/placement_estimate_tests.rs
+++ b/crates/sched/src/placement_estimate_tests.rs
@@ -1,57 +1,41 @@
 use super::*;
 
-fn busy_queue() -> QueueForecast {
-    let mut q = QueueForecast {
-        free_cpus: 1.0,
-        free_memory_gb: 8.0,
-        ..QueueForecast::default()
-    };
-    q.expected_releases.push(ExpectedRelease::new(
-        TimeDistribution::point_mass(12.0),
-        2.0,
-        0.0,
-        4.0,
-    ));
-    q.expected_releases.push(ExpectedRelease::new(
-        TimeDistribution::point_mass(30.0),
-        1.0,
-        0.0,
-        4.0,
-    ));
-    q
+/// A release of CPUs and memory at a certain time.
+fn release_at(end_s: f64, cpus: f64, memory_gb: f64) -> ExpectedRelease {
+    ExpectedRelease::new(TimeDistribution::point_mass(end_s), cpus, 0.0, memory_gb)
+}
+
+fn busy_forecast() -> QueueForecast {
+    let mut forecast = QueueForecast::with_free(1.0, 0.0, 8.0);
+    forecast.expected_releases = vec![release_at(12.0, 2.0, 4.0), release_at(30.0, 1.0, 4.0)];
+    forecast
+}
+
+/// Mean wait of a task that can't start at once; GPUs and memory are always enough.
+fn mean_wait_s(forecast: &mut QueueForecast, cpus: f64) -> f64 {
+    let start = forecast.estimate_start(cpus, 0.0, 1.0).unwrap();
+    start.wait.unwrap().mean_s
 }
 
 #[test]
-fn a_task_waits_for_as_much_room_as_it_needs() {
-    let mut q = busy_queue();
-    assert!(q.estimate_start(1.0, 0.0, 1.0).unwrap().wait.is_none());
-    assert_eq!(
-        q.estimate_start(2.0, 0.0, 1.0)
-            .unwrap()
-            .wait
-            .unwrap()
-            .mean_s,
-        12.0
-    );
-    assert_eq!(
-        q.estimate_start(4.0, 0.0, 1.0)
-            .unwrap()
-            .wait
-            .unwrap()
-            .mean_s,
-        30.0
-    );
-    assert!(q.estimate_start(5.0, 0.0, 1.0).is_none());
+fn a_task_waits_for_as_much_capacity_as_it_needs() {
+    let mut forecast = busy_forecast();
+    let start = forecast.estimate_start(1.0, 0.0, 1.0).unwrap();
+    assert!(start.wait.is_none());
+    assert_eq!(mean_wait_s(&mut forecast, 2.0), 12.0);
+    assert_eq!(mean_wait_s(&mut forecast, 4.0), 30.0);
+    assert!(forecast.estimate_start(5.0, 0.0, 1.0).is_none());
 }
 
 #[test]
-fn two_are_held_and_no_more() {
-    let mut q = busy_queue();
-    for expected in [12.0, 30.0] {
-        let s = q.estimate_start(2.0, 0.0, 1.0).unwrap();
-        assert_eq!(s.wait.as_ref().unwrap().mean_s, expected);
-        let end = s.wait.as_ref().unwrap().distribution.shift(60.0);
-        q.add_task(&s, end, 2.0, 0.0, 1.0);
+fn a_machine_queues_two_tasks_and_no_more() {
+    let mut forecast = busy_forecast();
+    for expected_wait_s in [12.0, 30.0] {
+        let start = forecast.estimate_start(2.0, 0.0, 1.0).unwrap();
+        let wait = start.wait.as_ref().unwrap();
+        assert_eq!(wait.mean_s, expected_wait_s);
+        let end = wait.distribution.shift(60.0);
+        forecast.add_task(&start, end, 2.0, 0.0, 1.0);
     }
-    assert!(q.estimate_start(2.0, 0.0, 1.0).is_none());
+    assert!(forecast.estimate_start(2.0, 0.0, 1.0).is_none());
 }
--- a/crates/sched/src/pruner.rs
+++ b/crates/sched/src/pruner.rs
@@ -1,10 +1,11 @@
-//! The pruner: deferring threshold, overload toggle and drop threshold.
+//! The pruner: it defers tasks that are unlikely to meet their deadlines, and drops queued ones
+//! under overload.
 use stonegw_constants::{
     DEFERRING_THRESHOLD_STEP, DROPPING_OFF_MISS_LEVEL, DROPPING_ON_MISS_LEVEL, DROP_SKEWNESS_SCALE,
     DROP_THRESHOLD_BASE, MISS_LEVEL_WEIGHT,
 };
 
-/// Whether held tasks with low chances are dropped.
+/// Whether queued tasks with a low on-time probability are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverloadToggle {
     /// Nothing is dropped.
@@ -16,9 +17,9 @@
 /// State of the pruner between two mappings.
 #[derive(Clone, Debug)]
 pub struct Pruner {
-    /// Chance, 0 to 1, below which a waiting task is deferred.
+    /// On-time probability, 0 to 1, below which a pending task is deferred.
     pub deferring_threshold: f64,
-    /// Smoothed number of deadline misses per mapping.
+    /// Exponentially smoothed number of deadline misses per scheduling pass.
     pub smoothed_misses: f64,
     /// The overload toggle.
     pub overload_toggle: OverloadToggle,
@@ -35,44 +36,42 @@
 }
 
 impl Pruner {
-    /// One mapping: `misses` tasks missed their deadlines since the last one.
+    /// Counts a scheduling pass: `misses` tasks missed their deadlines since the last one. The
+    /// overload toggle has hysteresis, so that it does not flap between two levels.
     pub fn record_misses(&mut self, misses: usize) {
         self.smoothed_misses =
             MISS_LEVEL_WEIGHT * misses as f64 + (1.0 - MISS_LEVEL_WEIGHT) * self.smoothed_misses;
-        self.set_overload_toggle(match self.overload_toggle {
+        self.overload_toggle = match self.overload_toggle {
             OverloadToggle::Off if self.smoothed_misses >= DROPPING_ON_MISS_LEVEL => {
                 OverloadToggle::On
             }
             OverloadToggle::On if self.smoothed_misses <= DROPPING_OFF_MISS_LEVEL => {
                 OverloadToggle::Off
             }
-            same => same,
-        });
-    }
-
-    fn set_overload_toggle(&mut self, to: OverloadToggle) {
-        self.overload_toggle = to;
+            unchanged => unchanged,
+        };
     }
 
-    /// `robustness`: mean chance of all running and held tasks; `passing`: waiting tasks whose
-    /// best chance reaches the threshold.
+    /// Adjusts the threshold after a scheduling pass. `robustness`: mean on-time probability of all
+    /// running and queued tasks; `passing`: pending tasks whose best on-time probability reaches
+    /// the threshold.
     pub fn adjust_deferring_threshold(
         &mut self,
-        waiting: usize,
+        pending: usize,
         free_slots: usize,
         passing: usize,
         robustness: f64,
     ) {
-        let next = if free_slots > waiting || passing == 0 {
+        let threshold = if free_slots > pending || passing == 0 {
             self.deferring_threshold - DEFERRING_THRESHOLD_STEP
         } else {
             robustness - DEFERRING_THRESHOLD_STEP
         };
-        self.deferring_threshold = next.clamp(0.0, 1.0);
+        self.deferring_threshold = threshold.clamp(0.0, 1.0);
     }
 
-    /// Threshold below which a held task is dropped while the toggle is on. `position` counts
-    /// from the head of the machine's queue.
+    /// On-time probability below which a queued task is dropped while the overload toggle is on.
+    /// `position` counts from the head of the machine's queue.
     pub fn drop_threshold(skewness: f64, position: usize) -> f64 {
         DROP_THRESHOLD_BASE
             + -skewness.clamp(-1.0, 1.0) * DROP_SKEWNESS_SCALE / (position as f64 + 1.0)
--- a/crates/sched/src/run_time_histogram.rs
+++ b/crates/sched/src/run_time_histogram.rs
@@ -1,9 +1,13 @@
-//! Run-time histograms per job and machine type, learned from finished reports and seeded by
-//! the owner's estimate.
+//! Run-time histograms per job and machine type, seeded by the owner's estimate and learned from
+//! the runs that heartbeats report as finished.
 use crate::time_distribution::TimeDistribution;
 use hdrhistogram::Histogram;
 use stonegw_constants::{ESTIMATE_QUANTILE_FACTORS, MAX_RUN_TIME_MS, OBSERVED_RUN_WEIGHT};
 
+/// Expected remaining time of a run that is longer than any recorded one, as a fraction of the
+/// time it has run.
+const OVERRUN_FRACTION: f64 = 0.2;
+
 /// The run times of one job on one machine type.
 #[derive(Debug)]
 pub struct RunTimeHistogram {
@@ -11,31 +15,40 @@
     distribution: TimeDistribution,
     cumulative: TimeDistribution,
     mean_s: f64,
-    /// The recorded times in s with their counts, shortest first.
-    recorded_times: Vec<(f64, u32)>,
+    /// The recorded run times, shortest first.
+    recorded_run_times: Vec<RecordedRunTime>,
     is_up_to_date: bool,
     /// Number of finished runs recorded.
     pub observed_runs: u32,
 }
 
-fn clamped_ms(s: f64) -> u64 {
-    ((s * 1e3) as u64).clamp(1, MAX_RUN_TIME_MS)
+/// A cell of the histogram that is not empty.
+#[derive(Debug)]
+struct RecordedRunTime {
+    run_time_s: f64,
+    count: u32,
+}
+
+/// A run time as the histogram records it, within its bounds.
+fn clamped_ms(run_time_s: f64) -> u64 {
+    ((run_time_s * 1e3) as u64).clamp(1, MAX_RUN_TIME_MS)
 }
 
 impl RunTimeHistogram {
-    /// `scale` corrects the estimate by what other finished work showed; 1 if nothing did.
+    /// A histogram that holds only the owner's estimate. `scale` corrects it by the ratio that
+    /// finished jobs showed; 1 if there are none.
     pub fn from_estimate(estimate_s: f64, scale: f64) -> RunTimeHistogram {
         let mut histogram =
             Histogram::new_with_bounds(1, MAX_RUN_TIME_MS, 2).expect("valid bounds");
-        for f in ESTIMATE_QUANTILE_FACTORS {
-            histogram.saturating_record(clamped_ms(estimate_s * scale * f));
+        for quantile_factor in ESTIMATE_QUANTILE_FACTORS {
+            histogram.saturating_record(clamped_ms(estimate_s * scale * quantile_factor));
         }
         RunTimeHistogram {
             histogram,
             distribution: TimeDistribution::empty(),
             cumulative: TimeDistribution::empty(),
             mean_s: 0.0,
-            recorded_times: vec![],
+            recorded_run_times: vec![],
             is_up_to_date: false,
             observed_runs: 0,
         }
@@ -49,18 +62,22 @@
         self.is_up_to_date = false;
     }
 
-    /// The histogram is walked once a change, not once a question: it has thousands of cells.
+    /// Derives the cached values. The histogram has thousands of cells, so it is walked once per
+    /// change and not once per query.
     fn refresh(&mut self) {
         if self.is_up_to_date {
             return;
         }
         self.distribution = TimeDistribution::empty();
-        self.recorded_times.clear();
+        self.recorded_run_times.clear();
         let total = self.histogram.len() as f64;
-        for v in self.histogram.iter_recorded() {
-            let (s, n) = (v.value_iterated_to() as f64 / 1e3, v.count_at_value());
-            self.distribution.add_mass(s, f64::from(n) / total);
-            self.recorded_times.push((s, n));
+        for cell in self.histogram.iter_recorded() {
+            let run_time_s = cell.value_iterated_to() as f64 / 1e3;
+            let count = cell.count_at_value();
+            self.distribution
+                .add_mass(run_time_s, f64::from(count) / total);
+            self.recorded_run_times
+                .push(RecordedRunTime { run_time_s, count });
         }
         self.cumulative = self.distribution.cumulative();
         self.mean_s = self.histogram.mean() / 1e3;
@@ -85,20 +102,25 @@
         self.mean_s
     }
 
-    /// What is left of a run that has lasted `elapsed_s`: the part of the histogram above it.
-    /// A run longer than anything seen may end any moment.
+    /// Distribution of the remaining time of a run that has lasted `elapsed_s`: the part of the
+    /// histogram above it. A run longer than any recorded one may end at any moment.
     pub fn remaining_after(&mut self, elapsed_s: f64) -> TimeDistribution {
         self.refresh();
-        let from = self.recorded_times.partition_point(|p| p.0 <= elapsed_s);
-        let rest = &self.recorded_times[from..];
-        let mass: u32 = rest.iter().map(|p| p.1).sum();
-        if mass == 0 {
-            return TimeDistribution::point_mass(elapsed_s * 0.2);
+        let first_longer = self
+            .recorded_run_times
+            .partition_point(|recorded| recorded.run_time_s <= elapsed_s);
+        let longer = &self.recorded_run_times[first_longer..];
+        let total: u32 = longer.iter().map(|recorded| recorded.count).sum();
+        if total == 0 {
+            return TimeDistribution::point_mass(elapsed_s * OVERRUN_FRACTION);
         }
-        let mut out = TimeDistribution::empty();
-        for (s, n) in rest {
-            out.add_mass(s - elapsed_s, f64::from(*n) / f64::from(mass));
+        let mut remaining = TimeDistribution::empty();
+        for recorded in longer {
+            remaining.add_mass(
+                recorded.run_time_s - elapsed_s,
+                f64::from(recorded.count) / f64::from(total),
+            );
         }
-        out
+        remaining
     }
 }
--- a/crates/sched/src/time_distribution.rs
+++ b/crates/sched/src/time_distribution.rs
@@ -1,152 +1,167 @@
-//! Probability mass functions over time from now, on a fixed grid.
+//! Probability mass functions over the time from now, on a fixed grid.
+//!
+//! Sums are in single precision and in a fixed order: scheduling decisions must be reproducible.
 use stonegw_constants::{CURVE_BINS, CURVE_BIN_S};
 
-/// Mass per bin; what lies beyond the grid is missing from the sum. Bin `i` stands for the
-/// time `i * BIN_S`.
+/// The last bin that counts as on time for a deadline, or `None` if the deadline has passed.
+/// Deadlines are rounded down to whole bins; `bin_index` rounds by up to half a bin.
+fn last_bin_by(due_s: f64) -> Option<usize> {
+    if due_s < 0.0 {
+        return None;
+    }
+    Some(((due_s / CURVE_BIN_S) as usize).min(CURVE_BINS - 1))
+}
+
+/// Probability mass per bin; mass beyond the grid is missing from the sum. Bin `i` stands for the
+/// time `i * CURVE_BIN_S`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimeDistribution(pub Box<[f32; CURVE_BINS]>);
 
-fn bin_index(s: f64) -> usize {
-    (s / CURVE_BIN_S).round().clamp(0.0, CURVE_BINS as f64) as usize
+/// Mass below which a bin is skipped in a convolution.
+const NEGLIGIBLE_MASS: f32 = 1e-6;
+/// Variance, in s², below which a distribution counts as a point mass.
+const NEGLIGIBLE_VARIANCE: f64 = 1e-9;
+
+/// The nearest bin; `CURVE_BINS` if the time lies beyond the grid.
+fn bin_index(time_s: f64) -> usize {
+    (time_s / CURVE_BIN_S).round().clamp(0.0, CURVE_BINS as f64) as usize
 }
 
 impl TimeDistribution {
-    /// A curve without any mass.
+    /// A distribution without any mass.
     pub fn empty() -> TimeDistribution {
         TimeDistribution(Box::new([0.0; CURVE_BINS]))
     }
 
     /// All mass at one time.
-    pub fn point_mass(s: f64) -> TimeDistribution {
-        let mut c = TimeDistribution::empty();
-        if let Some(b) = c.0.get_mut(bin_index(s.max(0.0))) {
-            *b = 1.0;
+    pub fn point_mass(time_s: f64) -> TimeDistribution {
+        let mut distribution = TimeDistribution::empty();
+        if let Some(bin) = distribution.0.get_mut(bin_index(time_s.max(0.0))) {
+            *bin = 1.0;
         }
-        c
+        distribution
     }
 
-    /// Adds mass at `s` seconds; beyond the grid it is dropped.
-    pub fn add_mass(&mut self, s: f64, mass: f64) {
-        if let Some(b) = self.0.get_mut(bin_index(s.max(0.0))) {
-            *b += mass as f32;
+    /// Adds mass at a time; beyond the grid it is discarded.
+    pub fn add_mass(&mut self, time_s: f64, mass: f64) {
+        if let Some(bin) = self.0.get_mut(bin_index(time_s.max(0.0))) {
+            *bin += mass as f32;
         }
     }
 
-    /// The sum of two independent times. Mass past the grid is lost to "too late".
+    /// The sum of two independent times. Mass beyond the grid is discarded: it is too late for any
+    /// deadline.
     pub fn convolve(&self, other: &TimeDistribution) -> TimeDistribution {
-        let mut out = TimeDistribution::empty();
-        for (i, a) in self.0.iter().enumerate() {
-            if *a > 1e-6 {
-                for (o, b) in out.0[i..].iter_mut().zip(other.0.iter()) {
-                    *o += a * b;
+        let mut sum = TimeDistribution::empty();
+        for (offset, own_mass) in self.0.iter().enumerate() {
+            if *own_mass > NEGLIGIBLE_MASS {
+                for (bin, other_mass) in sum.0[offset..].iter_mut().zip(other.0.iter()) {
+                    *bin += own_mass * other_mass;
                 }
             }
         }
-        out
+        sum
     }
 
     /// The later of two independent times.
     pub fn maximum(&self, other: &TimeDistribution) -> TimeDistribution {
-        let mut out = TimeDistribution::empty();
-        let (mut a, mut b, mut before) = (0.0, 0.0, 0.0);
-        for i in 0..CURVE_BINS {
-            a += self.0[i];
-            b += other.0[i];
-            out.0[i] = a * b - before;
-            before = a * b;
+        let mut maximum = TimeDistribution::empty();
+        let (mut own_sum, mut other_sum, mut product_before) = (0.0, 0.0, 0.0);
+        for bin in 0..CURVE_BINS {
+            own_sum += self.0[bin];
+            other_sum += other.0[bin];
+            maximum.0[bin] = own_sum * other_sum - product_before;
+            product_before = own_sum * other_sum;
         }
-        out
+        maximum
     }
 
-    /// The same distribution, `s` seconds later.
-    pub fn shift(&self, s: f64) -> TimeDistribution {
-        let n = bin_index(s);
-        let mut out = TimeDistribution::empty();
-        if n < CURVE_BINS {
-            out.0[n..].copy_from_slice(&self.0[..CURVE_BINS - n]);
+    /// The same distribution, `delay_s` later.
+    pub fn shift(&self, delay_s: f64) -> TimeDistribution {
+        let delay_bins = bin_index(delay_s);
+        let mut shifted = TimeDistribution::empty();
+        if delay_bins < CURVE_BINS {
+            shifted.0[delay_bins..].copy_from_slice(&self.0[..CURVE_BINS - delay_bins]);
         }
-        out
+        shifted
     }
 
-    /// Running sum: bin `i` holds the mass up to `i * BIN_S`.
+    /// The cumulative distribution: bin `i` holds the mass up to `i * CURVE_BIN_S`.
     pub fn cumulative(&self) -> TimeDistribution {
-        let mut out = self.clone();
+        let mut cumulative = self.clone();
         let mut sum = 0.0;
-        for b in out.0.iter_mut() {
-            sum += *b;
-            *b = sum;
+        for bin in cumulative.0.iter_mut() {
+            sum += *bin;
+            *bin = sum;
         }
-        out
+        cumulative
     }
 
-    /// Chance that `self` (a start) plus a run, given by its cumulative curve, ends by `due_s`.
-    /// The paper's shortcut: no full convolution is built.
+    /// Probability that a run, given by its cumulative distribution, ends by `due_s` if it starts
+    /// at the time that `self` describes. The paper's shortcut: no full convolution is built.
     pub fn on_time_probability(&self, run_cumulative: &TimeDistribution, due_s: f64) -> f64 {
-        if due_s < 0.0 {
+        let Some(last_bin) = last_bin_by(due_s) else {
             return 0.0;
-        }
-        // Half a bin is the rounding of `bin`; due times are rounded down to whole bins.
-        let last = ((due_s / CURVE_BIN_S) as usize).min(CURVE_BINS - 1);
+        };
         let mut sum = 0.0;
-        for (i, mass) in self.0[..=last].iter().enumerate() {
-            sum += mass * run_cumulative.0[last - i];
+        for (start_bin, mass) in self.0[..=last_bin].iter().enumerate() {
+            sum += mass * run_cumulative.0[last_bin - start_bin];
         }
         f64::from(sum).clamp(0.0, 1.0)
     }
 
-    /// Chance that a run, given by this cumulative curve, that starts after `wait_s` ends by
-    /// `due_s`.
+    /// Probability that a run, given by this cumulative distribution, that starts after `wait_s`
+    /// ends by `due_s`.
     pub fn on_time_probability_after(&self, wait_s: f64, due_s: f64) -> f64 {
-        if due_s < 0.0 {
-            return 0.0;
-        }
-        let last = ((due_s / CURVE_BIN_S) as usize).min(CURVE_BINS - 1);
-        let first = bin_index(wait_s.max(0.0));
-        last.checked_sub(first)
-            .map_or(0.0, |i| f64::from(self.0[i]).clamp(0.0, 1.0))
+        let start_bin = bin_index(wait_s.max(0.0));
+        last_bin_by(due_s)
+            .and_then(|last_bin| last_bin.checked_sub(start_bin))
+            .map_or(0.0, |run_bins| f64::from(self.0[run_bins]).clamp(0.0, 1.0))
     }
 
     /// Mass up to a time.
     pub fn probability_by(&self, due_s: f64) -> f64 {
-        if due_s < 0.0 {
-            return 0.0;
-        }
-        let last = ((due_s / CURVE_BIN_S) as usize).min(CURVE_BINS - 1);
-        f64::from(self.0[..=last].iter().sum::<f32>()).clamp(0.0, 1.0)
+        last_bin_by(due_s).map_or(0.0, |last_bin| {
+            f64::from(self.0[..=last_bin].iter().sum::<f32>()).clamp(0.0, 1.0)
+        })
     }
 
     /// The earliest time with any mass, s.
     pub fn earliest_s(&self) -> f64 {
-        let first = self.0.iter().position(|m| *m > 0.0).unwrap_or(CURVE_BINS);
-        first as f64 * CURVE_BIN_S
+        let first_bin = self
+            .0
+            .iter()
+            .position(|mass| *mass > 0.0)
+            .unwrap_or(CURVE_BINS);
+        first_bin as f64 * CURVE_BIN_S
     }
 
     /// Mean time; mass beyond the grid counts at its end.
     pub fn mean_s(&self) -> f64 {
-        let (mut mass, mut sum) = (0.0, 0.0);
-        for (i, m) in self.0.iter().enumerate() {
-            mass += f64::from(*m);
-            sum += f64::from(*m) * i as f64 * CURVE_BIN_S;
+        let (mut total_mass, mut weighted_s) = (0.0, 0.0);
+        for (bin, mass) in self.0.iter().enumerate() {
+            total_mass += f64::from(*mass);
+            weighted_s += f64::from(*mass) * bin as f64 * CURVE_BIN_S;
         }
-        sum + (1.0 - mass).max(0.0) * CURVE_BINS as f64 * CURVE_BIN_S
+        weighted_s + (1.0 - total_mass).max(0.0) * CURVE_BINS as f64 * CURVE_BIN_S
     }
 
     /// Skewness bounded to -1..1 (the paper's `s`).
     pub fn skewness(&self) -> f64 {
-        let mean = self.mean_s();
-        let (mut mass, mut second, mut third) = (0.0, 0.0, 0.0);
-        let rest = 1.0 - f64::from(self.0.iter().sum::<f32>());
-        let points = self.0.iter().map(|m| f64::from(*m)).chain([rest.max(0.0)]);
-        for (i, m) in points.enumerate() {
-            let d = i as f64 * CURVE_BIN_S - mean;
-            mass += m;
-            second += m * d * d;
-            third += m * d * d * d;
+        let mean_s = self.mean_s();
+        let (mut total_mass, mut second_moment, mut third_moment) = (0.0, 0.0, 0.0);
+        let beyond_grid = 1.0 - f64::from(self.0.iter().sum::<f32>());
+        let bins = self.0.iter().map(|mass| f64::from(*mass));
+        for (bin, mass) in bins.chain([beyond_grid.max(0.0)]).enumerate() {
+            let deviation_s = bin as f64 * CURVE_BIN_S - mean_s;
+            total_mass += mass;
+            second_moment += mass * deviation_s * deviation_s;
+            third_moment += mass * deviation_s * deviation_s * deviation_s;
         }
-        if mass <= 0.0 || second <= 1e-9 {
+        if total_mass <= 0.0 || second_moment <= NEGLIGIBLE_VARIANCE {
             return 0.0;
         }
-        let sigma = (second / mass).sqrt();
-        (third / mass / sigma.powi(3)).clamp(-1.0, 1.0)
+        let standard_deviation_s = (second_moment / total_mass).sqrt();
+        (third_moment / total_mass / standard_deviation_s.powi(3)).clamp(-1.0, 1.0)
     }
 }
--- a/crates/sched/tests/placement_estimate.rs
+++ b/crates/sched/tests/placement_estimate.rs
@@ -1,21 +1,19 @@
-use stonegw_sched::placement_estimate::*;
+use stonegw_sched::placement_estimate::{earliest_finish, PlacementScore};
+
+fn score(on_time_probability: f64, expected_finish_s: f64) -> PlacementScore {
+    PlacementScore {
+        on_time_probability,
+        expected_finish_s,
+        cpu_headroom: 0.0,
+        price_per_cpu: 1.0,
+    }
+}
 
 #[test]
-fn best_chance_first_then_soonest_finish() {
-    let (a, b) = (
-        PlacementScore {
-            on_time_probability: 0.9,
-            expected_finish_s: 50.0,
-            cpu_headroom: 0.0,
-            price_per_cpu: 1.0,
-        },
-        PlacementScore {
-            on_time_probability: 0.5,
-            expected_finish_s: 10.0,
-            cpu_headroom: 0.0,
-            price_per_cpu: 1.0,
-        },
-    );
-    assert!(a.is_better_than(&b) && !b.is_better_than(&a));
-    assert_eq!(earliest_finish([(1, a), (2, b)].into_iter()).unwrap().0, 2);
+fn higher_probability_first_then_earliest_finish() {
+    let likely = score(0.9, 50.0);
+    let early = score(0.5, 10.0);
+    assert!(likely.is_better_than(&early) && !early.is_better_than(&likely));
+    let (first, _) = earliest_finish([(1, likely), (2, early)].into_iter()).unwrap();
+    assert_eq!(first, 2);
 }
