--- a/crates/control/src/context.rs
+++ b/crates/control/src/context.rs
@@ -1,4 +1,4 @@
-//! What the leader and its parts may use of their node during one turn, and how they make calls.
+//! What the leader and its parts may use of their node during a turn, and how they make calls.
 use crate::api::{Now, Target};
 use crate::calls::{AutoscalerCall, LeaderCall};
 use crate::outbox::Outbox;
@@ -7,60 +7,68 @@
 use crate::store_limits::StoreLimits;
 use stonegw_constants::{CLOUD_TIMEOUT_MS, STORE_TIMEOUT_MS};
 
-/// What the leader and its parts may use of their node during one turn.
+/// What the leader and its parts may use of their node during a turn.
 pub struct LeaderContext<'a> {
+    /// The time of the turn.
     pub now: Now,
+    /// The node's settings.
     pub settings: &'a Settings,
-    /// No other node is heard, so another may hear the machines that we don't.
+    /// Whether the leader may resign if no machine reaches it: no peer is reachable either, so
+    /// another node may be better connected.
     pub may_resign: bool,
-    /// What may have been cancelled without our knowledge still ends in time: leases may be
-    /// renewed and tasks started.
+    /// The cancellation watermark is current: jobs that were cancelled without this node's knowledge
+    /// still end in time if leases are renewed and tasks started now.
     pub watermark_current: bool,
-    /// The leader key was seen to be ours since the node's last pause: commands and writes may go out.
+    /// The leader key was confirmed to be this node's since its last pause: commands and writes may
+    /// be sent.
     pub leadership_confirmed: bool,
+    /// The node's copy of the replicated records.
     pub replica: &'a mut Replica,
+    /// Rate budget for requests to the store.
     pub read_budget: &'a mut TokenBucket,
+    /// Rate budget for writes to the store.
     pub write_budget: &'a mut TokenBucket,
-    /// How large what is written may be.
+    /// How large transactions and values may be.
     pub store_limits: &'a mut StoreLimits,
+    /// Collects the turn's actions.
     pub(crate) outbox: &'a mut Outbox,
+    /// The leader's calls in flight, by their numbers.
     pub calls: &'a mut Vec<(u64, LeaderCall)>,
 }
 
 impl LeaderContext<'_> {
-    /// Makes a call and returns its number; its answer comes back with `what`.
+    /// Makes a call and returns its number; its result is delivered together with `call`.
     pub fn send_call(
         &mut self,
-        what: LeaderCall,
+        call: LeaderCall,
         target: Target,
         method: &'static str,
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
     ) -> u64 {
-        let id = self
+        let call_id = self
             .outbox
             .start_call(target, method, path, body, timeout_ms);
-        self.calls.push((id, what));
-        id
+        self.calls.push((call_id, call));
+        call_id
     }
 
-    /// Reads from the state service.
-    pub fn read_store(&mut self, what: LeaderCall, path: String) {
-        let wait = STORE_TIMEOUT_MS;
-        self.send_call(what, Target::Store, "GET", path, vec![], wait);
+    /// Reads from the key-value store.
+    pub fn read_store(&mut self, call: LeaderCall, path: String) {
+        self.send_call(call, Target::Store, "GET", path, vec![], STORE_TIMEOUT_MS);
     }
 
-    /// Asks the cloud.
+    /// Makes a call to the cloud provider's API.
     pub fn call_cloud(
         &mut self,
-        what: AutoscalerCall,
+        call: AutoscalerCall,
         method: &'static str,
         path: &str,
         body: Vec<u8>,
     ) {
-        let (what, path) = (LeaderCall::Autoscaler(what), path.to_owned());
-        let wait = CLOUD_TIMEOUT_MS;
-        self.send_call(what, Target::Cloud, method, path, body, wait);
+        let call = LeaderCall::Autoscaler(call);
+        let path = path.to_owned();
+        self.send_call(call, Target::Cloud, method, path, body, CLOUD_TIMEOUT_MS);
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -17,3 +17,4 @@
 pub mod scheduler;
 pub mod settings;
 pub mod store_limits;
+pub mod token_bucket;
--- a/crates/control/src/outbox.rs
+++ b/crates/control/src/outbox.rs
@@ -1,11 +1,13 @@
-//! Collects the actions that a turn of the node leads to.
+//! Collects the actions of a turn of the node.
 use crate::api::{Action, Target};
 use serde::Serialize;
 use stonegw_wire::msg::{encode, ErrorBody};
 
-/// The actions of one turn, and the number of the last call.
+/// The actions of a turn, and the number of the last call.
 pub(crate) struct Outbox {
+    /// The actions, in the order in which they are to be taken.
     pub actions: Vec<Action>,
+    /// Calls are numbered from 1 over the whole life of the process.
     pub last_call_id: u64,
 }
 
@@ -31,18 +33,33 @@
         self.last_call_id
     }
 
-    /// Answers a request with a body of JSON.
-    pub fn reply<T: Serialize>(&mut self, id: u64, status: u16, retry: Option<u32>, body: &T) {
+    /// Replies to a request with a JSON body.
+    pub fn reply<T: Serialize>(
+        &mut self,
+        request_id: u64,
+        status: u16,
+        retry_after_s: Option<u32>,
+        body: &T,
+    ) {
         self.actions.push(Action::Reply {
-            request_id: id,
+            request_id,
             status,
-            retry_after_s: retry,
+            retry_after_s,
             body: encode(body),
         });
     }
 
-    /// Answers a request with an error and its reason.
-    pub fn reply_error(&mut self, id: u64, status: u16, retry: Option<u32>, why: &str) {
-        self.reply(id, status, retry, &ErrorBody { error: why.into() });
+    /// Replies to a request with an error and its reason.
+    pub fn reply_error(
+        &mut self,
+        request_id: u64,
+        status: u16,
+        retry_after_s: Option<u32>,
+        reason: &str,
+    ) {
+        let body = ErrorBody {
+            error: reason.into(),
+        };
+        self.reply(request_id, status, retry_after_s, &body);
     }
 }
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -1,9 +1,9 @@
-//! Pauses: stretches of time in which the process did not run while its clock went on. The clock may
-//! also show more time than has passed.
+//! Process pauses: periods in which the process did not run while its clock advanced. The clock may
+//! also have jumped ahead by more than the time that passed.
 //!
-//! What concerns the node's own rights counts as expired after a pause, until it is proven by an answer to
-//! what was asked after it (`Node::proven`). What it would conclude about others from elapsed time
-//! starts its wait anew: each part shifts its own times, in its `resume`.
+//! After a pause, the node's own leases count as expired until a response to a request sent after
+//! the pause confirms them. What the node would conclude about others from elapsed time starts its
+//! wait anew: each component shifts its timestamps in its `resume`.
 use crate::api::Millis;
 use stonegw_constants::PROCESS_PAUSE_THRESHOLD_MS;
 
@@ -12,35 +12,36 @@
 pub struct Pause {
     /// The present time.
     pub now: Millis,
-    /// By how much the clock went on, ms.
+    /// By how much the clock advanced, ms.
     pub duration_ms: Millis,
 }
 
 impl Pause {
-    /// Moves a time of the past on, so that the pause does not count as time passed since. 0 is
+    /// Shifts a past timestamp, so that the pause does not count as time passed since. 0 means
     /// "never" and stays.
-    pub fn shift(&self, at: &mut Millis) {
-        if *at > 0 {
-            *at += self.duration_ms;
+    pub fn shift(&self, timestamp: &mut Millis) {
+        if *timestamp > 0 {
+            *timestamp += self.duration_ms;
         }
     }
 
-    /// The same for a time that may not be set.
-    pub fn shift_if_set(&self, at: &mut Option<Millis>) {
-        if let Some(at) = at {
-            self.shift(at);
+    /// The same for a timestamp that may not be set.
+    pub fn shift_if_set(&self, timestamp: &mut Option<Millis>) {
+        if let Some(timestamp) = timestamp {
+            self.shift(timestamp);
         }
     }
 }
 
-/// Watches the turns of a process for pauses between them.
+/// Detects pauses by the time between two turns of the process.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
     last_turn_at: Option<Millis>,
 }
 
 impl PauseDetector {
-    /// Notes a turn. `Some`: the time since the last one can't have been spent at work.
+    /// Records a turn. `Some`: too much time has passed since the last one to have been spent
+    /// processing.
     pub fn record_turn(&mut self, now: Millis) -> Option<Pause> {
         let last_turn = self.last_turn_at.replace(now)?;
         let gap = now.saturating_sub(last_turn);
--- a/crates/control/src/pause_tests.rs
+++ b/crates/control/src/pause_tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         detector.record_turn(now + 100),
         None,
-        "one pause is told once"
+        "a pause is reported once"
     );
 }
 
@@ -30,8 +30,10 @@
         now: 20_000,
         duration_ms: 9_000,
     };
-    let (mut never, mut past) = (0, 10_000);
+    let mut never = 0;
+    let mut past = 10_000;
     pause.shift(&mut never);
     pause.shift(&mut past);
-    assert_eq!((never, past), (0, 19_000));
+    assert_eq!(never, 0);
+    assert_eq!(past, 19_000);
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,187 +1,197 @@
-//! Every node's copy of what stands under `c/`: the jobs and who leads.
+//! Every node's copy of the replicated records: the jobs, and who leads.
 use crate::records::{
     parse_task_name, JobEnd, JobRecord, LeaderRecord, ReplicatedRecord, JOBS_PREFIX, LEADER_KEY,
 };
 use std::collections::{BTreeSet, HashMap};
 use stonegw_wire::msg::{Command, Entry, Heartbeat, TaskState, WatchEvent, WatchResponse};
 
+/// A job as last read or written.
 #[derive(Clone, Debug)]
 pub struct ReplicatedJob {
+    /// The job's record.
     pub record: JobRecord,
+    /// The record's revision.
     pub revision: u64,
 }
 
+/// A node's copy of the records under `c/`.
 #[derive(Debug, Default)]
 pub struct Replica {
+    /// The jobs by their ids.
     pub jobs: HashMap<String, ReplicatedJob>,
-    /// The leader key with its stamp, which is the term.
+    /// The leader's record with its revision, which is the term.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// The highest term or removal of a leader key seen.
+    /// The highest revision at which the leader key was seen to be set or deleted.
     leader_revision: u64,
+    /// The highest term seen.
     pub highest_term: u64,
+    /// The store's revision up to which all changes were read.
     pub revision: u64,
-    /// Jobs that changed and that the leader has not looked at yet.
+    /// Jobs that have changed and that the leader has not processed yet.
     pub changed_jobs: Vec<String>,
-    /// Reports handed on by nodes that can't reach the leader.
+    /// Heartbeats relayed by nodes that can't reach the leader.
     pub relayed_heartbeats: Vec<Heartbeat>,
-    /// All cancellations known, by the stamp under which each is stored.
+    /// All known cancellations, by the revision at which each was stored.
     cancellations: BTreeSet<(u64, String)>,
-    /// Those that were not handed to the other nodes yet.
+    /// Those that were not announced to the other nodes yet.
     pub unsent_cancellations: Vec<(u64, String)>,
-    /// Cancellations of jobs that we have not read yet, with their stamps.
+    /// Revisions of announced cancellations of jobs that this node has not read yet.
     unread_cancellations: HashMap<String, u64>,
 }
 
 impl Replica {
-    /// Answers may be late and out of order: a key only ever moves to a higher version.
-    fn put_record(&mut self, key: &str, value: ReplicatedRecord, version: u64) {
-        match value {
-            ReplicatedRecord::Leader(l) if key == LEADER_KEY => {
-                if version > self.leader_revision {
-                    self.leader_revision = version;
-                    self.highest_term = self.highest_term.max(version);
-                    self.leader = Some((l, version));
-                }
+    /// Takes in a record. Responses may be late and out of order: a key only ever moves to a higher
+    /// revision.
+    fn put_record(&mut self, key: &str, record: ReplicatedRecord, revision: u64) {
+        match record {
+            ReplicatedRecord::Leader(leader) if key == LEADER_KEY => {
+                self.put_leader(leader, revision);
             }
             ReplicatedRecord::Job(record) => {
                 if let Some(id) = key.strip_prefix(JOBS_PREFIX) {
-                    self.put_job(id, *record, version);
+                    self.put_job(id, *record, revision);
                 }
             }
-            // The order of reports is in themselves; a late one is told by its number.
-            ReplicatedRecord::RelayedHeartbeats(f) => {
-                self.relayed_heartbeats.extend(f.heartbeats);
+            // Heartbeats are ordered by their own sequence numbers; the leader ignores late ones.
+            ReplicatedRecord::RelayedHeartbeats(relayed) => {
+                self.relayed_heartbeats.extend(relayed.heartbeats);
             }
             ReplicatedRecord::Leader(_) => log::warn!("unexpected record at {key}"),
         }
     }
 
-    pub fn put_job(&mut self, id: &str, mut record: JobRecord, mut version: u64) {
-        if let Some(stamp) = self
-            .unread_cancellations
-            .remove(id)
-            .filter(|stamp| *stamp > version)
-        {
-            (record, version) = (record.cancelled(), stamp);
+    fn put_leader(&mut self, leader: LeaderRecord, revision: u64) {
+        if revision > self.leader_revision {
+            self.leader_revision = revision;
+            self.highest_term = self.highest_term.max(revision);
+            self.leader = Some((leader, revision));
+        }
+    }
+
+    /// Takes in a job's record, unless a newer one is known.
+    pub fn put_job(&mut self, id: &str, mut record: JobRecord, mut revision: u64) {
+        let announced = self.unread_cancellations.remove(id);
+        if let Some(cancelled_at) = announced.filter(|cancelled_at| *cancelled_at > revision) {
+            record = record.cancelled();
+            revision = cancelled_at;
         }
         let known = self.jobs.get(id);
-        if known.is_some_and(|j| j.revision >= version) {
+        if known.is_some_and(|job| job.revision >= revision) {
             return;
         }
-        // An end is for ever; nothing we write takes one back.
-        if let Some(was) = known.and_then(|j| j.record.end) {
-            if record.end != Some(was) {
-                log::error!("job {id} ended as {was:?}, but its record changed; ignored");
+        let known_end = known.and_then(|job| job.record.end);
+        // An end is final; no node ever writes a record that reverts one.
+        if let Some(end) = known_end {
+            if record.end != Some(end) {
+                log::error!("job {id} ended as {end:?}, but its record changed; ignored");
                 return;
             }
         }
-        let before = known.is_some_and(|j| j.record.end.is_some());
-        if record.end == Some(JobEnd::Cancelled) && !before {
-            self.cancellations.insert((version, id.to_owned()));
-            self.unsent_cancellations.push((version, id.to_owned()));
+        if record.end == Some(JobEnd::Cancelled) && known_end.is_none() {
+            self.add_cancellation(id, revision);
         }
-        self.jobs.insert(
-            id.to_owned(),
-            ReplicatedJob {
-                record,
-                revision: version,
-            },
-        );
+        let job = ReplicatedJob { record, revision };
+        self.jobs.insert(id.to_owned(), job);
         self.changed_jobs.push(id.to_owned());
     }
 
+    fn add_cancellation(&mut self, id: &str, revision: u64) {
+        self.cancellations.insert((revision, id.to_owned()));
+        self.unsent_cancellations.push((revision, id.to_owned()));
+    }
+
     /// Another node knows of a stored cancellation.
-    pub fn apply_announced_cancellation(&mut self, id: &str, stamp: u64) {
+    pub fn apply_announced_cancellation(&mut self, id: &str, revision: u64) {
         match self.jobs.get(id) {
-            Some(j) if j.record.end.is_some() => {}
-            Some(j) => {
-                let record = j.record.cancelled();
-                self.put_job(id, record, stamp);
+            Some(job) if job.record.end.is_some() => {}
+            Some(job) => {
+                let record = job.record.cancelled();
+                self.put_job(id, record, revision);
             }
-            // Its submission was stored after our last read. Others may ask us of the cancellation
-            // before we have read it.
+            // The job was submitted after this node's last read. Other nodes may ask for the
+            // cancellation before the job is read.
             None => {
-                if self
-                    .unread_cancellations
-                    .insert(id.to_owned(), stamp)
-                    .is_none()
-                {
-                    self.cancellations.insert((stamp, id.to_owned()));
-                    self.unsent_cancellations.push((stamp, id.to_owned()));
+                let announced = self.unread_cancellations.insert(id.to_owned(), revision);
+                if announced.is_none() {
+                    self.add_cancellation(id, revision);
                 }
             }
         }
     }
 
-    /// Cancellations known that a reader of everything up to a revision may not know.
+    /// The known cancellations that a reader of everything up to a revision may not know.
     pub fn cancellations_since(&self, revision: u64) -> impl Iterator<Item = &(u64, String)> {
         self.cancellations
             .range((revision.saturating_add(1), String::new())..)
     }
 
-    /// What ends the cancelled tasks in a report.
-    pub fn stop_commands(&self, report: &Heartbeat) -> Vec<Command> {
-        let cancelled = |task: &str| {
-            let job = parse_task_name(task).map_or("", |t| t.0);
-            self.end_of(job) == Some(JobEnd::Cancelled)
-                || self.unread_cancellations.contains_key(job)
-        };
-        let live = report.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        live.filter(|t| cancelled(&t.task_id))
-            .map(|t| Command::Stop {
-                task_id: t.task_id.clone(),
-                attempt: t.attempt,
+    /// The stop commands for the tasks in a heartbeat whose jobs are cancelled.
+    pub fn stop_commands(&self, heartbeat: &Heartbeat) -> Vec<Command> {
+        heartbeat
+            .tasks
+            .iter()
+            .filter(|task| task.state != TaskState::Exited)
+            .filter(|task| self.is_task_cancelled(&task.task_id))
+            .map(|task| Command::Stop {
+                task_id: task.task_id.clone(),
+                attempt: task.attempt,
                 grace_period_s: 0.0,
             })
             .collect()
     }
 
-    fn delete_record(&mut self, key: &str, version: u64) {
-        if key == LEADER_KEY && version > self.leader_revision {
-            self.leader_revision = version;
+    fn is_task_cancelled(&self, task: &str) -> bool {
+        let job = parse_task_name(task).map_or("", |(job, _)| job);
+        self.end_of(job) == Some(JobEnd::Cancelled) || self.unread_cancellations.contains_key(job)
+    }
+
+    fn delete_record(&mut self, key: &str, revision: u64) {
+        if key == LEADER_KEY && revision > self.leader_revision {
+            self.leader_revision = revision;
             self.leader = None;
         }
     }
 
-    pub fn apply_page(&mut self, items: Vec<Entry<ReplicatedRecord>>) {
-        for e in items {
-            self.put_record(&e.key, e.value, e.revision);
+    /// Takes in a page of a listing.
+    pub fn apply_page(&mut self, entries: Vec<Entry<ReplicatedRecord>>) {
+        for entry in entries {
+            self.put_record(&entry.key, entry.value, entry.revision);
         }
     }
 
+    /// Takes in the changes since the last read.
     pub fn apply_changes(&mut self, changes: WatchResponse<ReplicatedRecord>) {
         for event in changes.events {
             match event {
                 WatchEvent::Put {
                     key,
                     value,
-                    revision: version,
-                } => self.put_record(&key, value, version),
-                WatchEvent::Delete {
-                    key,
-                    revision: version,
-                } => self.delete_record(&key, version),
+                    revision,
+                } => self.put_record(&key, value, revision),
+                WatchEvent::Delete { key, revision } => self.delete_record(&key, revision),
             }
         }
         self.revision = self.revision.max(changes.revision);
     }
 
-    /// A transaction of ours made us leader.
+    /// This node's own transaction made it the leader.
     pub fn record_own_election(&mut self, record: LeaderRecord, term: u64) {
-        self.put_record(LEADER_KEY, ReplicatedRecord::Leader(record), term);
+        self.put_leader(record, term);
     }
 
-    /// A listing without a leader key, taken whole, proves there is none.
+    /// A complete listing without a leader key proves that there was none at its revision.
     pub fn clear_leader(&mut self, revision: u64) {
         self.delete_record(LEADER_KEY, revision);
     }
 
+    /// How a job ended, if it is known and has.
     pub fn end_of(&self, job: &str) -> Option<JobEnd> {
-        self.jobs.get(job).and_then(|j| j.record.end)
+        self.jobs.get(job).and_then(|job| job.record.end)
     }
 
+    /// The current leader's term.
     pub fn term(&self) -> Option<u64> {
-        self.leader.as_ref().map(|(_, t)| *t)
+        self.leader.as_ref().map(|(_, term)| *term)
     }
 }
 
--- a/crates/control/src/replica_tests.rs
+++ b/crates/control/src/replica_tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn an_old_removal_does_not_unseat_a_newer_leader() {
-    let mut r = Replica::default();
-    let l = LeaderRecord {
+fn an_old_deletion_does_not_depose_a_newer_leader() {
+    let mut replica = Replica::default();
+    let leader = LeaderRecord {
         node: "a".into(),
         nonce: 1,
         lease: 1,
     };
-    r.record_own_election(l.clone(), 10);
-    r.delete_record(LEADER_KEY, 8);
-    assert_eq!(r.term(), Some(10));
-    r.delete_record(LEADER_KEY, 11);
-    assert_eq!(r.term(), None);
-    r.record_own_election(l, 10);
-    assert_eq!(r.term(), None);
+    replica.record_own_election(leader.clone(), 10);
+    replica.delete_record(LEADER_KEY, 8);
+    assert_eq!(replica.term(), Some(10));
+    replica.delete_record(LEADER_KEY, 11);
+    assert_eq!(replica.term(), None);
+    replica.record_own_election(leader, 10);
+    assert_eq!(replica.term(), None);
 }
--- a/crates/control/src/resources.rs
+++ b/crates/control/src/resources.rs
@@ -1,18 +1,21 @@
-//! Amounts of what a task takes of a machine.
+//! Amounts of a machine's resources.
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 use stonegw_constants::RESOURCE_EPSILON;
-use stonegw_wire::msg::{JobSpec, MachineType};
+use stonegw_wire::msg::{JobSpec, MachineType, MAX_TASKS};
 
-/// CPUs, accelerator cards and memory, taken or free.
+/// CPUs, GPUs and memory: requested, used or free.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// CPU cores.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory, GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// What one task of the job takes.
+    /// The request of one task of the job.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -21,7 +24,7 @@
         }
     }
 
-    /// What an empty machine of the type has.
+    /// The capacity of an empty machine of the type.
     pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
             cpus: machine_type.cpus,
@@ -30,31 +33,30 @@
         }
     }
 
-    /// Whether `need` fits into this much room, rounding aside.
-    pub fn has_capacity_for(&self, need: &Resources) -> bool {
-        self.cpus + RESOURCE_EPSILON >= need.cpus
-            && self.gpus + RESOURCE_EPSILON >= need.gpus
-            && self.memory_gb + RESOURCE_EPSILON >= need.memory_gb
+    /// Whether `request` fits, within the tolerance for rounding errors.
+    pub fn has_capacity_for(&self, request: &Resources) -> bool {
+        self.cpus + RESOURCE_EPSILON >= request.cpus
+            && self.gpus + RESOURCE_EPSILON >= request.gpus
+            && self.memory_gb + RESOURCE_EPSILON >= request.memory_gb
     }
 
-    /// How many times `need` fits into this much room.
-    pub fn count_fitting(&self, need: &Resources) -> u32 {
-        self.fit_ratio(need)
-            .clamp(0.0, f64::from(stonegw_wire::msg::MAX_TASKS)) as u32
+    /// How many times `request` fits; at most as many as a job may have tasks.
+    pub fn count_fitting(&self, request: &Resources) -> u32 {
+        self.fit_ratio(request).clamp(0.0, f64::from(MAX_TASKS)) as u32
     }
 
-    /// How many times `need` fits, in parts and without an upper limit.
-    pub fn fit_ratio(&self, need: &Resources) -> f64 {
-        let ratio = |have: f64, need: f64| {
-            if need > RESOURCE_EPSILON {
-                (have + RESOURCE_EPSILON) / need
+    /// How many times `request` fits, with the fraction and without an upper limit.
+    pub fn fit_ratio(&self, request: &Resources) -> f64 {
+        let ratio = |available: f64, requested: f64| {
+            if requested > RESOURCE_EPSILON {
+                (available + RESOURCE_EPSILON) / requested
             } else {
                 f64::MAX
             }
         };
-        ratio(self.cpus, need.cpus)
-            .min(ratio(self.gpus, need.gpus))
-            .min(ratio(self.memory_gb, need.memory_gb))
+        ratio(self.cpus, request.cpus)
+            .min(ratio(self.gpus, request.gpus))
+            .min(ratio(self.memory_gb, request.memory_gb))
     }
 }
 
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,53 +1,61 @@
-//! The settings as the core uses them; the daemon reads and checks the files.
+//! The settings as the state machines use them; the daemon reads and validates the files.
+pub use crate::token_bucket::TokenBucket;
 use stonegw_constants::{
     ARRIVAL_RATE_FRACTION, HEADROOM_TASKS, IDLE_RETENTION_BOOTS, LEADER_LEASE_TTL_MS,
     SCHEDULING_INTERVAL_MS, SLACK_FRACTION,
 };
 
-/// A team's guarantee and limits. A guest has neither: no guarantee, and limits that are infinite.
+/// A team's quotas and limits. A team without limits in the deployment file is a guest: it has no
+/// quota, and its limits are infinite.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// Its name in submissions.
     pub name: String,
-    /// CPUs it is guaranteed.
+    /// CPUs that it is guaranteed.
     pub quota_cpus: f64,
     /// CPUs its tasks may use at any time.
     pub limit_cpus: f64,
-    /// Cards it is guaranteed.
+    /// GPUs that it is guaranteed.
     pub quota_gpus: f64,
-    /// Cards its tasks may use at any time.
+    /// GPUs its tasks may use at any time.
     pub limit_gpus: f64,
 }
 
-/// What is promised of a class besides its jobs' own deadlines: its arrays start, or are done, within
-/// so long.
+/// A service-level objective of a class of jobs, besides the jobs' own deadlines: its arrays start, or
+/// finish, within a time.
 #[derive(Clone, Debug)]
 pub struct ClassSlo {
+    /// The class, as in submissions.
     pub class: String,
+    /// What has to happen in time.
     pub milestone: SloMilestone,
+    /// Seconds after the submission.
     pub within_s: f64,
 }
 
+/// What an objective is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SloMilestone {
+    /// All tasks have started.
     Start,
+    /// All tasks are done.
     Finish,
 }
 
-/// What an operator may tune (the HCL file); the defaults stand in the constants.
+/// What an operator may tune (the HCL file); the defaults are constants.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// Tasks of the usual urgent size kept free.
+    /// Headroom for urgent work, in tasks of the reference size.
     pub headroom_tasks: f64,
-    /// Boot times that an idle machine is kept.
+    /// How long an idle machine is kept, as a multiple of its type's boot time.
     pub idle_retention_boots: f64,
-    /// Part of the time to a deadline the fleet is sized for.
+    /// Fraction of the time to a deadline within which the autoscaler plans the work to be done.
     pub slack_fraction: f64,
-    /// Part of the room that arriving deadline work takes, as of late, that is kept for it.
+    /// Fraction of the recent arrival rate of deadline-constrained work for which capacity is kept.
     pub arrival_rate_fraction: f64,
-    /// ms the leader key outlives its last renewal.
+    /// Time to live of the leader's lease, ms.
     pub leader_lease_ttl_ms: u64,
-    /// ms between mappings.
+    /// Time between scheduling passes, ms.
     pub scheduling_interval_ms: u64,
 }
 
@@ -64,96 +72,64 @@
     }
 }
 
+/// The settings of a node and of the deployment that it belongs to.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// Name of this node.
     pub node_name: String,
+    /// Zone of this node.
     pub zone: String,
+    /// Names of the other nodes.
     pub peers: Vec<String>,
+    /// All zones of the deployment.
     pub zones: Vec<String>,
+    /// The teams that may submit jobs.
     pub teams: Vec<Team>,
+    /// Service-level objectives of job classes.
     pub class_slos: Vec<ClassSlo>,
+    /// Time between two heartbeats of a worker, s.
     pub heartbeat_interval_s: f64,
+    /// A worker without contact for so long stops its tasks, s.
     pub worker_lease_s: f64,
+    /// All tasks of a cancelled job are to have ended within so long, s.
     pub cancellation_deadline_s: f64,
-    /// A gang's task exits if its gang is not complete after so long, s.
+    /// A task of a gang exits if the gang is not complete after so long, s.
     pub gang_start_timeout_s: f64,
-    /// A gang's tasks notice the loss of one within so long, s; stops must reach all within it.
+    /// The tasks of a gang detect the loss of one of them within so long, s; stop commands must reach
+    /// all of them within it.
     pub gang_loss_detection_s: f64,
+    /// Requests per second that the key-value store accepts from all nodes together.
     pub store_requests_per_s: f64,
+    /// Writes per second that the store accepts from all nodes together.
     pub store_writes_per_s: f64,
+    /// Maximum size of a value in the store, in bytes of JSON.
     pub max_value_bytes: usize,
+    /// Maximum number of writes in a transaction.
     pub max_transaction_writes: usize,
+    /// Requests per second that the cloud provider's API accepts.
     pub cloud_requests_per_s: f64,
+    /// How far the cloud provider's list of machines may lag behind, s.
     pub cloud_listing_lag_s: f64,
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
+    /// What an operator may tune.
     pub tuning: Tuning,
 }
 
 impl Settings {
+    /// The team with this name, if there is one.
     pub fn team(&self, name: &str) -> Option<&Team> {
-        self.teams.iter().find(|t| t.name == name)
+        self.teams.iter().find(|team| team.name == name)
     }
 
-    /// Seconds after their submission by which tasks of a class are to be done, as far as that is
-    /// promised; each runs for `run` seconds.
-    pub fn slo_deadlines(&self, class: &str, run: f64) -> impl Iterator<Item = f64> + '_ {
+    /// The deadlines that the objectives of a class imply for tasks that run for `run_s`, in seconds
+    /// after the submission.
+    pub fn slo_deadlines(&self, class: &str, run_s: f64) -> impl Iterator<Item = f64> + '_ {
         let class = class.to_owned();
-        let of_class = self.class_slos.iter().filter(move |p| p.class == class);
-        of_class.map(move |p| match p.milestone {
-            SloMilestone::Start => p.within_s + run,
-            SloMilestone::Finish => p.within_s,
+        let of_class = self.class_slos.iter().filter(move |slo| slo.class == class);
+        of_class.map(move |slo| match slo.milestone {
+            SloMilestone::Start => slo.within_s + run_s,
+            SloMilestone::Finish => slo.within_s,
         })
     }
 }
-
-/// A rate budget that refills steadily.
-#[derive(Clone, Debug)]
-pub struct TokenBucket {
-    tokens_per_s: f64,
-    burst: f64,
-    tokens: f64,
-    refilled_at: u64,
-}
-
-impl TokenBucket {
-    pub fn new(tokens_per_s: f64, burst: f64) -> TokenBucket {
-        TokenBucket {
-            tokens_per_s,
-            burst,
-            tokens: burst,
-            refilled_at: 0,
-        }
-    }
-
-    /// Units a second.
-    pub fn tokens_per_s(&self) -> f64 {
-        self.tokens_per_s
-    }
-
-    pub fn available(&mut self, now: u64) -> f64 {
-        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e3;
-        self.tokens = (self.tokens + passed * self.tokens_per_s).min(self.burst);
-        self.refilled_at = self.refilled_at.max(now);
-        self.tokens
-    }
-
-    pub fn try_take(&mut self, now: u64, n: f64) -> bool {
-        let ok = self.available(now) >= n;
-        if ok {
-            self.tokens -= n;
-        }
-        ok
-    }
-
-    /// For what must go out in any case; later takers wait for it.
-    pub fn take_unconditionally(&mut self, now: u64, n: f64) {
-        self.available(now);
-        self.tokens -= n;
-    }
-
-    pub fn set_rate(&mut self, rate: f64, burst: f64) {
-        self.tokens_per_s = rate;
-        self.burst = burst;
-        self.tokens = self.tokens.min(burst);
-    }
-}
--- a/crates/control/src/store_limits_tests.rs
+++ b/crates/control/src/store_limits_tests.rs
@@ -2,73 +2,79 @@
 use stonegw_constants::MAX_CONSECUTIVE_RATE_REFUSALS;
 
 impl StoreLimits {
-    /// As if a larger value had been refused.
+    /// As if a larger value had been rejected.
     pub fn set_max_value_bytes(&mut self, bytes: usize) {
         self.max_value_bytes = bytes;
     }
 }
 
-fn limits(writes: usize, value_bytes: usize) -> StoreLimits {
+fn limits(max_writes: usize, max_value_bytes: usize) -> StoreLimits {
     StoreLimits {
-        max_value_bytes: value_bytes,
-        max_transaction_writes: writes,
-        configured_transaction_writes: writes,
+        max_value_bytes,
+        max_transaction_writes: max_writes,
+        configured_transaction_writes: max_writes,
         consecutive_rate_rejections: 0,
     }
 }
 
-fn size(writes: usize, largest: usize) -> TransactionSize {
+fn size(writes: usize, largest_value_bytes: usize) -> TransactionSize {
     TransactionSize {
         writes,
-        largest_value_bytes: largest,
+        largest_value_bytes,
     }
 }
 
-/// A state service that lowered its limits without a word must come to accept what is written.
+/// A store that lowered its limits without notice must come to accept what is written.
 #[test]
 fn rejected_transactions_shrink_until_accepted() {
-    for (writes, value) in [(32, 2048), (10, 2048), (4, 2048), (1, 8192), (1, 2048)] {
-        let mut l = limits(32, 8192);
-        let mut refusals = 0;
-        // A value of 5,000 bytes waits beside small ones.
+    for (store_max_writes, store_max_value_bytes) in
+        [(32, 2048), (10, 2048), (4, 2048), (1, 8192), (1, 2048)]
+    {
+        let mut limits = limits(32, 8192);
+        let mut rejections = 0;
+        // A value of 5,000 bytes is to be written beside small ones.
         loop {
-            let largest = l.max_value_bytes().min(5_000);
-            let next = size(l.max_transaction_writes(), largest);
-            if next.writes <= writes && next.largest_value_bytes <= value {
+            let largest_value_bytes = limits.max_value_bytes().min(5_000);
+            let next = size(limits.max_transaction_writes(), largest_value_bytes);
+            if next.writes <= store_max_writes && next.largest_value_bytes <= store_max_value_bytes
+            {
                 break;
             }
-            assert!(l.record_size_rejected(next), "{l:?}");
-            refusals += 1;
-            assert!(refusals < 20, "{l:?}");
+            assert!(limits.record_size_rejected(next), "{limits:?}");
+            rejections += 1;
+            assert!(rejections < 20, "{limits:?}");
         }
-        assert!(l.max_transaction_writes() * 2 > writes.min(32), "{l:?}");
+        assert!(
+            limits.max_transaction_writes() * 2 > store_max_writes.min(32),
+            "{limits:?}"
+        );
     }
 }
 
-/// What is refused for another reason must not make everything small.
+/// A transaction that is rejected for another reason must not lower the limits.
 #[test]
 fn a_small_value_rejected_alone_lowers_no_limit() {
-    let mut l = limits(1, 8192);
-    assert!(!l.record_size_rejected(size(1, 400)));
-    assert_eq!(l.max_value_bytes(), 8192);
+    let mut limits = limits(1, 8192);
+    assert!(!limits.record_size_rejected(size(1, 400)));
+    assert_eq!(limits.max_value_bytes(), 8192);
 }
 
-/// A transaction larger than what the lowered rate allows in a second would be refused for ever.
+/// A transaction larger than what the lowered rate allows in a second would be rejected forever.
 #[test]
 fn rate_rejections_shrink_transactions_temporarily() {
-    let mut l = limits(32, 8192);
+    let mut limits = limits(32, 8192);
     for _ in 0..MAX_CONSECUTIVE_RATE_REFUSALS {
-        l.record_rate_rejected();
+        limits.record_rate_rejected();
     }
-    assert_eq!(l.max_transaction_writes(), 32);
-    for most in [16, 8, 4, 2, 1, 1] {
-        l.record_rate_rejected();
-        assert_eq!(l.max_transaction_writes(), most);
+    assert_eq!(limits.max_transaction_writes(), 32);
+    for expected in [16, 8, 4, 2, 1, 1] {
+        limits.record_rate_rejected();
+        assert_eq!(limits.max_transaction_writes(), expected);
     }
     for _ in 0..100 {
-        l.record_rate_rejected();
+        limits.record_rate_rejected();
     }
-    assert_eq!(l.max_transaction_writes(), 1);
-    l.record_accepted();
-    assert_eq!(l.max_transaction_writes(), 32);
+    assert_eq!(limits.max_transaction_writes(), 1);
+    limits.record_accepted();
+    assert_eq!(limits.max_transaction_writes(), 32);
 }
