--- a/crates/control/src/gang_tests.rs
+++ b/crates/control/src/gang_tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::test_support::job_spec;
+use stonegw_wire::msg::{JobKind, JobSpec};
 
 fn member(index: u32, attempt: u64, phase: Phase) -> GangMember {
     GangMember {
@@ -68,27 +70,13 @@
 /// Its tasks are never in the list from which single tasks are started.
 #[test]
 fn no_task_of_a_gang_waits_by_itself() {
-    let spec = stonegw_wire::msg::JobSpec {
-        id: "run-1".into(),
-        class: "class".into(),
+    let spec = JobSpec {
         team: "team".into(),
-        kind: stonegw_wire::msg::JobKind::Gang,
-        priority: stonegw_wire::msg::Priority::Normal,
-        task_count: 3,
-        cpus: 1.0,
-        gpus: 0.0,
+        kind: JobKind::Gang,
         memory_gb: 1.0,
         image: "image".into(),
-        image_size_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        requires_single_zone: false,
-        spreads_across_zones: false,
-        allows_spot: false,
         estimated_run_time_s: 10.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_duration_s: 0.0,
-        deadline_s: None,
+        ..job_spec("run-1", 3)
     };
     let mut work = JobState::new(spec, 0);
     work.requeue(1);
--- a/crates/control/src/leader/fixture_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -5,6 +5,8 @@
 use crate::replica::Replica;
 use crate::settings::TokenBucket;
 use crate::store_limits::StoreLimits;
+pub use crate::test_support::job_spec;
+use crate::test_support::single_node_settings;
 use stonegw_constants::STORE_RETRY_BACKOFF_MS;
 
 /// Applies transactions at once and refuses what passes its limits, whatever the settings say.
@@ -127,31 +129,6 @@
     format!("host-{n:06}")
 }
 
-pub fn job_spec(id: &str, tasks: u32) -> stonegw_wire::msg::JobSpec {
-    stonegw_wire::msg::JobSpec {
-        id: id.into(),
-        class: "class".into(),
-        team: "red".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
-        task_count: tasks,
-        cpus: 1.0,
-        gpus: 0.0,
-        memory_gb: 2.0,
-        image: "img-1".into(),
-        image_size_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        requires_single_zone: false,
-        spreads_across_zones: false,
-        allows_spot: false,
-        estimated_run_time_s: 60.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_duration_s: 0.0,
-        deadline_s: None,
-    }
-}
-
 /// What a leader may use at the world's present time. A macro, so that it borrows only the parts it names.
 macro_rules! context {
     ($world:expr, $proven:expr, $calls:expr) => {
@@ -177,25 +154,9 @@
 impl LeaderFixture {
     pub fn new(store: FakeStore, value_bytes: usize, txn_ops: usize) -> LeaderFixture {
         let settings = Settings {
-            node_name: "node-0".into(),
-            zone: "a".into(),
-            peers: vec![],
-            zones: vec!["a".into()],
-            teams: vec![],
-            class_slos: vec![],
-            heartbeat_interval_s: 4.0,
-            worker_lease_s: 24.0,
-            cancellation_deadline_s: 54.0,
-            gang_start_timeout_s: 35.0,
-            gang_loss_detection_s: 8.0,
-            store_requests_per_s: 100.0,
-            store_writes_per_s: 60.0,
             max_value_bytes: value_bytes,
             max_transaction_writes: txn_ops,
-            cloud_requests_per_s: 1.0,
-            cloud_listing_lag_s: 1.0,
-            max_sockets: 1_000,
-            tuning: Default::default(),
+            ..single_node_settings()
         };
         LeaderFixture {
             store,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,8 @@
 //! The controller's state machines, free of I/O: events and the time go in, actions come out.
+// Integration tests include `test_support` too and know this crate by its name.
+#[cfg(test)]
+extern crate self as stonegw_control;
+
 pub mod aging;
 pub mod api;
 pub mod autoscaler;
@@ -17,4 +21,6 @@
 pub mod scheduler;
 pub mod settings;
 pub mod store_limits;
+#[cfg(test)]
+mod test_support;
 pub mod token_bucket;
--- a/crates/control/src/node/relay_tests.rs
+++ b/crates/control/src/node/relay_tests.rs
@@ -1,29 +1,14 @@
 use super::*;
+use crate::test_support::single_node_settings;
 use stonegw_constants::{
     HEARTBEAT_RELAY_TIMEOUT_MS, PROCESS_PAUSE_THRESHOLD_MS, RELAYED_HEARTBEATS_INTERVAL_MS,
 };
 
 pub(in crate::node) fn settings(write_rps: f64, txn_ops: usize) -> Settings {
     Settings {
-        node_name: "node-0".into(),
-        zone: "a".into(),
-        peers: vec![],
-        zones: vec!["a".into()],
-        teams: vec![],
-        class_slos: vec![],
-        heartbeat_interval_s: 4.0,
-        worker_lease_s: 24.0,
-        cancellation_deadline_s: 54.0,
-        gang_start_timeout_s: 35.0,
-        gang_loss_detection_s: 8.0,
-        store_requests_per_s: 100.0,
         store_writes_per_s: write_rps,
-        max_value_bytes: 8 * 1024,
         max_transaction_writes: txn_ops,
-        cloud_requests_per_s: 1.0,
-        cloud_listing_lag_s: 1.0,
-        max_sockets: 1_000,
-        tuning: Default::default(),
+        ..single_node_settings()
     }
 }
 
--- /dev/null
+++ b/crates/control/tests/feature_gate/main.rs
@@ -0,0 +1,7 @@
+//! The feature gate of a rolling upgrade: one node beside a fake key-value store.
+mod gang_submissions;
+mod harness;
+#[path = "../../src/test_support.rs"]
+#[allow(dead_code)]
+mod test_support;
+mod version_records;
--- a/crates/control/tests/store_limits.rs
+++ b/crates/control/tests/store_limits.rs
@@ -1,74 +1,41 @@
-//! A node that takes submissions and cancels while the state service refuses what it took before.
+//! A node that accepts submissions and cancellations while the store rejects sizes that it accepted
+//! before.
+#[path = "../src/test_support.rs"]
+#[allow(dead_code)]
+mod test_support;
+
 use std::collections::{BTreeMap, HashMap};
 use stonegw_control::api::{Action, Event, Now, Target};
 use stonegw_control::node::Node;
 use stonegw_control::records::{JobEnd, JobRecord, StoredRecord};
-use stonegw_control::settings::{Settings, Team};
+use stonegw_control::settings::Settings;
 use stonegw_wire::http::Request;
 use stonegw_wire::msg::{
-    decode, encode, json_size_bytes, Catalog, Entry, ErrorBody, JobKind, JobSpec, ListPage,
-    MachineType, Priority, Txn, TxnResponse, WatchEvent, WatchResponse, Write,
+    decode, encode, json_size_bytes, Catalog, Entry, ErrorBody, JobSpec, ListPage, MachineType,
+    Txn, TxnResponse, WatchEvent, WatchResponse, Write,
 };
+use test_support::{job_spec, single_node_settings, team};
 
 const LARGE_VALUE_BYTES: usize = 8 * 1024;
 const SMALL_VALUE_BYTES: usize = 2 * 1024;
+const STEP_MS: u64 = 50;
 
-fn settings(value_bytes: usize) -> Settings {
+fn settings(max_value_bytes: usize) -> Settings {
     Settings {
-        node_name: "node-0".into(),
-        zone: "a".into(),
-        peers: vec![],
-        zones: vec!["a".into()],
-        teams: vec![Team {
-            name: "red".into(),
-            quota_cpus: 100.0,
-            limit_cpus: 100.0,
-            quota_gpus: 0.0,
-            limit_gpus: 0.0,
-        }],
-        class_slos: vec![],
-        heartbeat_interval_s: 4.0,
-        worker_lease_s: 24.0,
-        cancellation_deadline_s: 54.0,
-        gang_start_timeout_s: 35.0,
-        gang_loss_detection_s: 8.0,
-        store_requests_per_s: 100.0,
-        store_writes_per_s: 60.0,
-        max_value_bytes: value_bytes,
-        max_transaction_writes: 16,
-        cloud_requests_per_s: 1.0,
-        cloud_listing_lag_s: 1.0,
-        max_sockets: 1_000,
-        tuning: Default::default(),
+        teams: vec![team("red", 100.0)],
+        max_value_bytes,
+        ..single_node_settings()
     }
 }
 
 /// A job whose record takes a bit more than so many bytes.
 fn job_spec_of_size(id: &str, bytes: usize) -> JobSpec {
-    // Machine types beside the one there is, 100 bytes each.
-    let unknown = (0..bytes / 100).map(|n| format!("{n:097}"));
-    let types = unknown.chain(["small".to_owned()]).collect();
+    // Machine types that do not exist, 100 bytes each, beside the one that does.
+    let unknown = (0..bytes / 100).map(|number| format!("{number:097}"));
+    let machine_types = unknown.chain(["small".to_owned()]).collect();
     JobSpec {
-        id: id.into(),
-        class: "class".into(),
-        team: "red".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
-        task_count: 1,
-        cpus: 1.0,
-        gpus: 0.0,
-        memory_gb: 2.0,
-        image: "img-1".into(),
-        image_size_gb: 1.0,
-        machine_types: Some(types),
-        zone: None,
-        requires_single_zone: false,
-        spreads_across_zones: false,
-        allows_spot: false,
-        estimated_run_time_s: 60.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_duration_s: 0.0,
-        deadline_s: None,
+        machine_types: Some(machine_types),
+        ..job_spec(id, 1)
     }
 }
 
@@ -89,23 +56,32 @@
     }
 }
 
-/// One node and the state service, with limits of its own.
+/// The status and body of a response.
+type Response = (u16, Vec<u8>);
+
+struct StoredEntry {
+    record: StoredRecord,
+    revision: u64,
+}
+
+/// A node and a fake key-value store that responds at once and has limits of its own.
 struct FakeStoreHarness {
     node: Node,
     now_ms: u64,
-    store_entries: BTreeMap<String, (StoredRecord, u64)>,
+    store_entries: BTreeMap<String, StoredEntry>,
     revision: u64,
     max_value_bytes: usize,
     max_writes: usize,
+    /// Number of transactions that exceeded a limit.
     rejections: usize,
-    /// What reached users, by request.
-    replies: HashMap<u64, (u16, Vec<u8>)>,
+    /// The node's replies to users, by request.
+    replies: HashMap<u64, Response>,
 }
 
 impl FakeStoreHarness {
-    fn new(value_bytes: usize) -> FakeStoreHarness {
-        let mut world = FakeStoreHarness {
-            node: Node::new(settings(value_bytes), 1),
+    fn new(max_value_bytes: usize) -> FakeStoreHarness {
+        let mut harness = FakeStoreHarness {
+            node: Node::new(settings(max_value_bytes), 1),
             now_ms: 1_000,
             store_entries: BTreeMap::new(),
             revision: 1,
@@ -114,18 +90,19 @@
             rejections: 0,
             replies: HashMap::new(),
         };
-        world.handle_events(vec![Event::Start]);
-        world.run_for(1_000);
-        world
+        harness.handle_events(vec![Event::Start]);
+        harness.run_for(1_000);
+        harness
     }
 
-    fn run_for(&mut self, ms: u64) {
-        for _ in 0..ms / 50 {
-            self.now_ms += 50;
+    fn run_for(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms / STEP_MS {
+            self.now_ms += STEP_MS;
             self.handle_events(vec![Event::Tick]);
         }
     }
 
+    /// Delivers events, and the results of the calls that they lead to, until there are none.
     fn handle_events(&mut self, mut events: Vec<Event>) {
         while !events.is_empty() {
             let now = Now {
@@ -135,7 +112,7 @@
             let actions = self.node.handle(now, events);
             events = actions
                 .into_iter()
-                .filter_map(|a| self.perform_action(a))
+                .filter_map(|action| self.perform_action(action))
                 .collect();
         }
     }
@@ -143,28 +120,25 @@
     fn perform_action(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Reply {
-                request_id: id,
+                request_id,
                 status,
                 body,
                 ..
             } => {
-                self.replies.insert(id, (status, body));
+                self.replies.insert(request_id, (status, body));
                 None
             }
             Action::Call {
-                call_id: call,
+                call_id,
                 target,
                 method,
                 path,
                 body,
                 ..
             } => {
-                let answer = self.serve_call(&target, method, &path, &body)?;
-                let result = Ok(answer);
-                Some(Event::CallDone {
-                    call_id: call,
-                    result,
-                })
+                let response = self.serve_call(&target, method, &path, &body)?;
+                let result = Ok(response);
+                Some(Event::CallDone { call_id, result })
             }
             Action::SendFrame { .. } => None,
         }
@@ -177,177 +151,214 @@
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> Option<(u16, Vec<u8>)> {
+    ) -> Option<Response> {
         if *target == Target::Cloud {
             return Some((200, encode(&catalog())));
         }
         match (method, path) {
             ("POST", "/multi") => Some(self.commit_transaction(body)),
-            ("GET", p) if p.starts_with("/kv?") => {
-                let releases = self
-                    .store_entries
-                    .iter()
-                    .filter(|_| p.starts_with("/kv?prefix=v/"));
-                let releases = releases.filter(|(key, _)| key.starts_with("v/"));
-                let items = releases.map(|(key, (value, version))| Entry {
-                    key: key.clone(),
-                    value: value.clone(),
-                    revision: *version,
-                    lease_id: None,
-                });
-                let list: ListPage<StoredRecord> = ListPage {
-                    entries: items.collect(),
-                    has_more: false,
-                    revision: 1,
-                };
-                Some((200, encode(&list)))
-            }
-            ("GET", p) if p.ends_with("holdMs=0") => {
-                // As the state service does, only what has the prefix; the node's release has another.
-                let jobs = self
-                    .store_entries
-                    .iter()
-                    .filter(|(key, _)| key.starts_with("c/"));
-                let events = jobs.map(|(key, (value, version))| WatchEvent::Put {
-                    key: key.clone(),
-                    value: value.clone(),
-                    revision: *version,
-                });
-                let changes = WatchResponse {
-                    revision: self.revision,
-                    events: events.collect(),
-                };
-                Some((200, encode(&changes)))
+            ("GET", path) if path.starts_with("/kv?prefix=v/") => {
+                Some(list_response(self.version_entries()))
             }
+            ("GET", path) if path.starts_with("/kv?") => Some(list_response(vec![])),
+            ("GET", path) if path.ends_with("holdMs=0") => Some(self.read_changes()),
             _ => None,
         }
     }
 
-    fn commit_transaction(&mut self, body: &[u8]) -> (u16, Vec<u8>) {
+    fn version_entries(&self) -> Vec<Entry<StoredRecord>> {
+        let versions = self
+            .store_entries
+            .iter()
+            .filter(|(key, _)| key.starts_with("v/"));
+        versions
+            .map(|(key, stored)| Entry {
+                key: key.clone(),
+                value: stored.record.clone(),
+                revision: stored.revision,
+                lease_id: None,
+            })
+            .collect()
+    }
+
+    /// Like the real store, only what has the prefix; the node's version record has another one.
+    fn read_changes(&self) -> Response {
+        let replicated = self
+            .store_entries
+            .iter()
+            .filter(|(key, _)| key.starts_with("c/"));
+        let events = replicated.map(|(key, stored)| WatchEvent::Put {
+            key: key.clone(),
+            value: stored.record.clone(),
+            revision: stored.revision,
+        });
+        let changes = WatchResponse {
+            revision: self.revision,
+            events: events.collect(),
+        };
+        (200, encode(&changes))
+    }
+
+    fn commit_transaction(&mut self, body: &[u8]) -> Response {
         let txn: Txn<StoredRecord> = decode(body).expect("a transaction");
-        let large = |w: &Write<StoredRecord>| match w {
+        let is_too_large = |write: &Write<StoredRecord>| match write {
             Write::Put { value, .. } => json_size_bytes(value) > self.max_value_bytes,
             Write::Delete { .. } => false,
         };
-        if txn.writes.len() > self.max_writes || txn.writes.iter().any(large) {
+        if txn.writes.len() > self.max_writes || txn.writes.iter().any(is_too_large) {
             self.rejections += 1;
             return (400, vec![]);
         }
         self.revision += 1;
-        for w in txn.writes {
-            if let Write::Put { key, value, .. } = w {
-                self.store_entries.insert(key, (value, self.revision));
+        for write in txn.writes {
+            if let Write::Put { key, value, .. } = write {
+                self.put(&key, value, self.revision);
             }
         }
-        let answer = TxnResponse {
+        let response = TxnResponse {
             revision: self.revision,
             failed_keys: vec![],
         };
-        (200, encode(&answer))
+        (200, encode(&response))
     }
 
-    fn post_event(&mut self, id: u64, path: String, body: Vec<u8>) -> Event {
-        let request = Request {
-            method: "POST".into(),
-            path,
-            connection_close: false,
-            body,
-        };
-        Event::Request {
-            request_id: id,
-            request,
-        }
-    }
-
-    fn submit_event(&mut self, id: u64, spec: &JobSpec) -> Event {
-        self.post_event(id, "/submissions".into(), encode(spec))
+    fn put(&mut self, key: &str, record: StoredRecord, revision: u64) {
+        self.store_entries
+            .insert(key.into(), StoredEntry { record, revision });
     }
 
-    fn reply_status(&self, id: u64) -> u16 {
-        self.replies.get(&id).map_or(0, |r| r.0)
+    /// Stores a job as another node would have done under a larger limit.
+    fn store_job(&mut self, spec: &JobSpec) {
+        self.revision = 5;
+        let record = StoredRecord::Job(Box::new(JobRecord::submitted(spec, 0)));
+        self.put(&format!("c/j/{}", spec.id), record, self.revision);
     }
 
     fn job_record(&self, job: &str) -> &JobRecord {
-        match &self.store_entries[&format!("c/j/{job}")].0 {
+        match &self.store_entries[&format!("c/j/{job}")].record {
             StoredRecord::Job(record) => record,
             other => panic!("{other:?}"),
         }
     }
+
+    fn reply_status(&self, request_id: u64) -> u16 {
+        self.replies
+            .get(&request_id)
+            .map_or(0, |(status, _)| *status)
+    }
+}
+
+fn list_response(entries: Vec<Entry<StoredRecord>>) -> Response {
+    let page: ListPage<StoredRecord> = ListPage {
+        entries,
+        has_more: false,
+        revision: 1,
+    };
+    (200, encode(&page))
 }
 
-/// What can never be stored was answered 503 again and again, as if the state service were away.
+fn post_event(request_id: u64, path: String, body: Vec<u8>) -> Event {
+    let request = Request {
+        method: "POST".into(),
+        path,
+        connection_close: false,
+        body,
+    };
+    Event::Request {
+        request_id,
+        request,
+    }
+}
+
+fn submit_event(request_id: u64, spec: &JobSpec) -> Event {
+    post_event(request_id, "/submissions".into(), encode(spec))
+}
+
+/// Regression: what can never be stored got 503 again and again, as if the store were unavailable.
 #[test]
 fn a_submission_above_the_limit_is_rejected_as_too_large() {
-    let mut world = FakeStoreHarness::new(SMALL_VALUE_BYTES);
-    let event = world.submit_event(1, &job_spec_of_size("run-1", SMALL_VALUE_BYTES));
-    world.handle_events(vec![event]);
-    world.run_for(1_000);
-    assert_eq!(world.reply_status(1), 400);
-    let error: ErrorBody = decode(&world.replies[&1].1).expect("an error");
+    let mut harness = FakeStoreHarness::new(SMALL_VALUE_BYTES);
+    let event = submit_event(1, &job_spec_of_size("run-1", SMALL_VALUE_BYTES));
+    harness.handle_events(vec![event]);
+    harness.run_for(1_000);
+    assert_eq!(harness.reply_status(1), 400);
+    let error: ErrorBody = decode(&harness.replies[&1].1).expect("an error");
     assert_eq!(error.error, "too large");
-    assert!(!world.store_entries.keys().any(|key| key.starts_with("c/")));
+    assert!(!harness
+        .store_entries
+        .keys()
+        .any(|key| key.starts_with("c/")));
 }
 
-/// A job that another node took under the larger limit is known, whatever the limit is now: 400 to its
-/// repeated submission would forget it.
+/// A job that another node accepted under the larger limit is known, whatever the limit is now: its
+/// repeated submission must not get 400.
 #[test]
 fn an_accepted_job_above_the_limit_stays_accepted() {
-    let mut world = FakeStoreHarness::new(SMALL_VALUE_BYTES);
+    let mut harness = FakeStoreHarness::new(SMALL_VALUE_BYTES);
     let spec = job_spec_of_size("run-1", SMALL_VALUE_BYTES);
-    let record = StoredRecord::Job(Box::new(JobRecord::submitted(&spec, 0)));
-    world.revision = 5;
-    world.store_entries.insert("c/j/run-1".into(), (record, 5));
-    let event = world.submit_event(1, &spec);
-    world.handle_events(vec![event]);
-    world.run_for(1_000);
-    assert_eq!(world.reply_status(1), 200);
+    harness.store_job(&spec);
+    let event = submit_event(1, &spec);
+    harness.handle_events(vec![event]);
+    harness.run_for(1_000);
+    assert_eq!(harness.reply_status(1), 200);
 }
 
 /// A cancellation of such a job must be stored all the same, or it could never be confirmed.
 #[test]
 fn an_accepted_job_above_the_limit_can_be_cancelled() {
-    let mut world = FakeStoreHarness::new(SMALL_VALUE_BYTES);
-    world.max_value_bytes = SMALL_VALUE_BYTES;
+    let mut harness = FakeStoreHarness::new(SMALL_VALUE_BYTES);
+    harness.max_value_bytes = SMALL_VALUE_BYTES;
     let spec = job_spec_of_size("run-1", SMALL_VALUE_BYTES);
-    let record = StoredRecord::Job(Box::new(JobRecord::submitted(&spec, 0)));
-    world.revision = 5;
-    world.store_entries.insert("c/j/run-1".into(), (record, 5));
-    let event = world.post_event(1, "/submissions/run-1/cancel".into(), vec![]);
-    world.handle_events(vec![event]);
-    world.run_for(2_000);
-    assert_eq!(world.reply_status(1), 200);
-    assert_eq!(world.job_record("run-1").end, Some(JobEnd::Cancelled));
+    harness.store_job(&spec);
+    let event = post_event(1, "/submissions/run-1/cancel".into(), vec![]);
+    harness.handle_events(vec![event]);
+    harness.run_for(2_000);
+    assert_eq!(harness.reply_status(1), 200);
+    assert_eq!(harness.job_record("run-1").end, Some(JobEnd::Cancelled));
 }
 
-/// Limits that are lowered without a word refuse a batch of submissions: all of it was given up, and its
-/// users were sent away.
+/// Regression: limits that were lowered without notice made the store reject a batch of submissions, and
+/// the node rejected all of them.
 #[test]
 fn a_rejected_batch_is_stored_in_smaller_batches() {
-    for (writes, value_bytes) in [
+    for (max_writes, max_value_bytes) in [
         (16, SMALL_VALUE_BYTES),
         (4, LARGE_VALUE_BYTES),
         (1, LARGE_VALUE_BYTES),
         (1, SMALL_VALUE_BYTES),
     ] {
-        let mut world = FakeStoreHarness::new(LARGE_VALUE_BYTES);
-        (world.max_writes, world.max_value_bytes) = (writes, value_bytes);
-        // The fifth takes more than the lower limit allows.
-        let size = |n: u64| if n == 5 { 3_000 } else { 0 };
+        let mut harness = FakeStoreHarness::new(LARGE_VALUE_BYTES);
+        harness.max_writes = max_writes;
+        harness.max_value_bytes = max_value_bytes;
+        // The fifth is larger than the lower limit allows.
+        let size = |number: u64| if number == 5 { 3_000 } else { 0 };
         let events = (1..=12)
-            .map(|n| world.submit_event(n, &job_spec_of_size(&format!("run-{n}"), size(n))))
+            .map(|number| {
+                let spec = job_spec_of_size(&format!("run-{number}"), size(number));
+                submit_event(number, &spec)
+            })
             .collect();
-        world.handle_events(events);
-        world.run_for(3_400);
-        for n in 1..=12 {
-            let fits = size(n) < value_bytes;
+        harness.handle_events(events);
+        harness.run_for(3_400);
+        for number in 1..=12 {
+            let fits = size(number) < max_value_bytes;
             let expected = if fits { 201 } else { 400 };
-            let now = world.reply_status(n);
-            assert_eq!(now, expected, "run-{n} with {writes} of {value_bytes}");
+            let status = harness.reply_status(number);
             assert_eq!(
-                world.store_entries.contains_key(&format!("c/j/run-{n}")),
+                status, expected,
+                "run-{number} with {max_writes} of {max_value_bytes}"
+            );
+            assert_eq!(
+                harness
+                    .store_entries
+                    .contains_key(&format!("c/j/run-{number}")),
                 fits
             );
         }
-        assert!((1..16).contains(&world.rejections), "{}", world.rejections);
+        assert!(
+            (1..16).contains(&harness.rejections),
+            "{}",
+            harness.rejections
+        );
     }
 }
