--- a/crates/control/src/test_support.rs
+++ b/crates/control/src/test_support.rs
@@ -1,5 +1,7 @@
 //! Fixtures that unit tests and integration tests share. Integration tests include this file by its
 //! path; tests override what they are about by struct update syntax.
+#![allow(dead_code)] // Each test binary uses only some of them.
+
 use stonegw_control::settings::{Settings, Team, Tuning};
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
 
--- a/crates/control/tests/feature_gate/main.rs
+++ b/crates/control/tests/feature_gate/main.rs
@@ -2,6 +2,5 @@
 mod gang_submissions;
 mod harness;
 #[path = "../../src/test_support.rs"]
-#[allow(dead_code)]
 mod test_support;
 mod version_records;
--- a/crates/control/tests/production.rs
+++ b/crates/control/tests/production.rs
@@ -1,5 +1,6 @@
-//! What this version stores before its gate opens has the form of the version in production, and what
-//! that one stored is read. `crates/testkit/capture-production.sh` writes the fixtures.
+//! The records that this version stores while its feature gate is closed have the form of the version
+//! in production, and the records of that version are readable. The fixtures are written by
+//! `crates/testkit/capture-production.sh`.
 #[path = "../../wire/tests/fixtures/compare.rs"]
 mod compare;
 #[path = "fixtures/records.rs"]
--- a/crates/control/tests/store_limits.rs
+++ b/crates/control/tests/store_limits.rs
@@ -1,7 +1,6 @@
 //! A node that accepts submissions and cancellations while the store rejects sizes that it accepted
 //! before.
 #[path = "../src/test_support.rs"]
-#[allow(dead_code)]
 mod test_support;
 
 use std::collections::{BTreeMap, HashMap};
