--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,14 @@
 //! The controller's state machines, free of I/O: events and the time go in, actions come out.
+//!
+//! From the bottom up:
+//!
+//! - [`api`], [`settings`], [`records`], [`resources`], [`pause`], [`token_bucket`] and
+//!   [`store_limits`]: the types that all others use.
+//! - [`replica`]: each node's copy of the replicated records; [`cluster`]: the leader's state of
+//!   machines, placements and jobs.
+//! - [`calls`] and [`context`]: how the leader makes calls and what it may use during a turn.
+//! - [`scheduler`], [`gang`], [`preemption`], [`aging`] and [`autoscaler`]: the decisions.
+//! - [`leader`]: the leader's turn; [`node`]: a node's turn, whether it leads or not.
 // Integration tests include `test_support` too and know this crate by its name.
 #[cfg(test)]
 extern crate self as stonegw_control;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -40,7 +40,7 @@
 }
 
 impl Replica {
-    /// Takes in a record. Responses may be late and out of order: a key only ever moves to a higher
+    /// Applies a record. Responses may be late and out of order: a key only ever moves to a higher
     /// revision.
     fn put_record(&mut self, key: &str, record: ReplicatedRecord, revision: u64) {
         match record {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes in a job's record, unless a newer one is known.
+    /// Applies a job's record, unless a newer one is known.
     pub fn put_job(&mut self, id: &str, mut record: JobRecord, mut revision: u64) {
         let announced = self.unread_cancellations.remove(id);
         if let Some(cancelled_at) = announced.filter(|cancelled_at| *cancelled_at > revision) {
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Takes in a page of a listing.
+    /// Applies a page of a listing.
     pub fn apply_page(&mut self, entries: Vec<Entry<ReplicatedRecord>>) {
         for entry in entries {
             self.put_record(&entry.key, entry.value, entry.revision);
         }
     }
 
-    /// Takes in the changes since the last read.
+    /// Applies the changes since the last read.
     pub fn apply_changes(&mut self, changes: WatchResponse<ReplicatedRecord>) {
         for event in changes.events {
             match event {
--- a/crates/testkit/tests/gang_workers.rs
+++ b/crates/testkit/tests/gang_workers.rs
@@ -1,5 +1,8 @@
 //! The stand-in's workers run gangs as the protocol tells: commands are given to them directly,
 //! with no controller beside.
+#[path = "../../control/src/test_support.rs"]
+mod test_support;
+
 use stonegw_testkit::sim::{Simulation, GANG_PEER_TIMEOUT_MS, GANG_WAIT_TIMEOUT_MS};
 use stonegw_testkit::stand_ins::Ms;
 use stonegw_wire::msg::*;
@@ -113,26 +116,15 @@
 
 fn gang_spec(tasks: u32) -> JobSpec {
     JobSpec {
-        id: JOB_ID.into(),
         class: "work".into(),
-        team: "red".into(),
         kind: JobKind::Gang,
-        priority: Priority::Normal,
-        task_count: tasks,
         cpus: 2.0,
-        gpus: 0.0,
         memory_gb: 1.0,
         image: "img".into(),
-        image_size_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        requires_single_zone: false,
-        spreads_across_zones: false,
-        allows_spot: false,
         estimated_run_time_s: 30.0,
         checkpoint_interval_s: 10.0,
         checkpoint_duration_s: 2.0,
-        deadline_s: None,
+        ..test_support::job_spec(JOB_ID, tasks)
     }
 }
 
