--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -11,7 +11,7 @@
 pub struct Now {
     /// Monotonic clock; all timeouts and leases are measured by it.
     pub monotonic_ms: Millis,
-    /// Time of day in ms; off by no more than the bound in the settings.
+    /// Time of day in ms, for submission times and deadlines only: nodes' clocks may differ.
     pub wall_ms: u64,
 }
 
