--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,32 +3,29 @@
 //! From the bottom up:
 //!
 //! - [`api`], [`settings`], [`records`], [`resources`], [`pause`], [`token_bucket`] and
-//!   [`store_limits`]: the types that all others use.
-//! - [`replica`]: each node's copy of the replicated records; [`cluster`]: the leader's state of
-//!   machines, placements and jobs.
+//!   [`store_limits`]: the types that all others use; [`replica`]: each node's copy of the
+//!   replicated records.
 //! - [`calls`] and [`context`]: how the leader makes calls and what it may use during a turn.
-//! - [`scheduler`], [`gang`], [`preemption`], [`aging`] and [`autoscaler`]: the decisions.
+//! - [`cluster`]: the leader's state of machines, placements and jobs.
+//! - [`scheduling`] and [`autoscaler`]: the decisions.
 //! - [`leader`]: the leader's turn; [`node`]: a node's turn, whether it leads or not.
 // Integration tests include `test_support` too and know this crate by its name.
 #[cfg(test)]
 extern crate self as stonegw_control;
 
-pub mod aging;
 pub mod api;
 pub mod autoscaler;
 pub mod calls;
 pub mod cluster;
 pub mod context;
-pub mod gang;
 pub mod leader;
 pub mod node;
 mod outbox;
 pub mod pause;
-pub mod preemption;
 pub mod records;
 pub mod replica;
 pub mod resources;
-pub mod scheduler;
+pub mod scheduling;
 pub mod settings;
 pub mod store_limits;
 #[cfg(test)]
--- a/crates/control/src/gang_tests.rs
+++ b/crates/control/src/scheduling/gang_lifecycle_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::cluster::JobState;
 use crate::test_support::job_spec;
 use stonegw_wire::msg::{JobKind, JobSpec};
 
