--- a/crates/wire/tests/msg.rs
+++ b/crates/wire/tests/msg.rs
@@ -1,6 +1,6 @@
-use stonegw_wire::msg::*;
+use stonegw_wire::msg::{decode, encode, ErrorBody, JobKind, JobSpec, Priority, MAX_TASKS};
 
-pub fn sample_job_spec() -> JobSpec {
+fn sample_job_spec() -> JobSpec {
     JobSpec {
         id: "run-000412".into(),
         class: "train".into(),
@@ -33,19 +33,19 @@
     );
     type Corruption = fn(&mut JobSpec);
     let bad: [(&str, Corruption); 7] = [
-        ("uid", |s| s.id = "job-1".into()),
-        ("pieces", |s| s.task_count = 0),
-        ("pieces", |s| s.task_count = MAX_TASKS + 1),
-        ("cpus", |s| s.cpus = -1.0),
-        ("memGb", |s| s.memory_gb = f64::NAN),
-        ("dueS", |s| s.deadline_s = Some(f64::INFINITY)),
-        ("crew", |s| s.team.clear()),
+        ("uid", |spec| spec.id = "job-1".into()),
+        ("pieces", |spec| spec.task_count = 0),
+        ("pieces", |spec| spec.task_count = MAX_TASKS + 1),
+        ("cpus", |spec| spec.cpus = -1.0),
+        ("memGb", |spec| spec.memory_gb = f64::NAN),
+        ("dueS", |spec| spec.deadline_s = Some(f64::INFINITY)),
+        ("crew", |spec| spec.team.clear()),
     ];
     for (field, spoil) in bad {
-        let mut s = sample_job_spec();
-        spoil(&mut s);
-        let err = JobSpec::parse(&encode(&s)).unwrap_err();
-        assert!(err.starts_with(field), "{field}: {err}");
+        let mut spec = sample_job_spec();
+        spoil(&mut spec);
+        let error = JobSpec::parse(&encode(&spec)).unwrap_err().to_string();
+        assert!(error.starts_with(field), "{field}: {error}");
     }
     let mut cut = encode(&sample_job_spec());
     cut.pop();
@@ -53,3 +53,33 @@
     assert!(JobSpec::parse(&[0x93, 1, 2, 3]).is_err());
     assert!(JobSpec::parse(b"").is_err());
 }
+
+/// Users see these texts in the bodies of 400 responses.
+#[test]
+fn the_texts_of_refusals_stay() {
+    let refusal = |spoil: fn(&mut JobSpec)| {
+        let mut spec = sample_job_spec();
+        spoil(&mut spec);
+        JobSpec::parse(&encode(&spec)).unwrap_err().to_string()
+    };
+    let refusals = [
+        refusal(|spec| spec.id.clear()),
+        refusal(|spec| spec.class.clear()),
+        refusal(|spec| spec.task_count = 0),
+        refusal(|spec| spec.gpus = 2e9),
+        refusal(|spec| spec.machine_types = Some(vec!["m".into(); 65])),
+    ];
+    let texts = [
+        "uid: must be run- and digits",
+        "lane: must be 1 to 200 bytes",
+        "pieces: must be 1 to 100000",
+        "cards: must be a number from 0 to 1e9",
+        "too large",
+    ];
+    assert_eq!(refusals, texts);
+
+    let decode_error = |body: &[u8]| decode::<ErrorBody>(body).unwrap_err().to_string();
+    let bodies: [&[u8]; 3] = [b"\x91\xa1e", b"\x80", b"\x81\xa5error\xa1e\x00"];
+    let texts = ["not a map", "missing field `error`", "trailing bytes"];
+    assert_eq!(bodies.map(decode_error), texts);
+}
