--- a/crates/control/src/node/cancellation_watermark.rs
+++ b/crates/control/src/node/cancellation_watermark.rs
@@ -1,76 +1,97 @@
-//! Up to when a node surely knows every cancellation that any node may have told a user.
+//! The cancellation watermark: the time up to which a node surely knows every cancellation that any
+//! node may have confirmed to a user.
 //!
-//! A lease that is renewed keeps alive what was cancelled meanwhile without our knowledge, so it
-//! is renewed only for so long past this time that it still runs out within the limit for
-//! cancellations. Two things move it: a read of the state service covers all up to its sending,
-//! since nothing is told before it is stored; and during an outage all the other nodes' answers
-//! together do, since each tells what it knows before it answers. That a node answers proves
-//! nothing of what an earlier life of it told: its answers count only from when a read, or
-//! the coverage as it was, has passed the moment at which the new life was first heard.
+//! Renewing a worker's lease keeps alive what was cancelled without our knowledge, so a lease is
+//! renewed only for so long past the watermark that it still runs out within the deadline for
+//! cancellations. Two things advance the watermark:
+//!
+//! - A read of the store, up to the moment at which it was sent, since no cancellation is confirmed
+//!   before it is stored.
+//! - During an outage of the store, the answers of all other nodes together, since each sends the
+//!   cancellations that it knows before it answers.
+//!
+//! An answer proves nothing of what an earlier incarnation of that node confirmed: it counts only
+//! once the watermark has passed the moment at which the present incarnation was first heard.
 use crate::api::Millis;
 
+/// What one incarnation of a peer has told us.
 struct PeerWatermark {
     incarnation: u64,
-    /// What earlier lives told, they told before this.
+    /// Earlier incarnations confirmed what they confirmed before this.
     first_heard_at: Millis,
+    /// All that this incarnation confirmed before this has reached us.
     watermark: Millis,
 }
 
+/// The node's own watermark, and those of its peers, from which it advances.
 pub(super) struct CancellationWatermark {
     watermark: Option<Millis>,
     peer_watermarks: Vec<Option<PeerWatermark>>,
 }
 
 impl CancellationWatermark {
-    pub fn new(peers: usize) -> CancellationWatermark {
+    /// Unset, with this many peers that have not been heard.
+    pub(super) fn new(peers: usize) -> CancellationWatermark {
         CancellationWatermark {
             watermark: None,
             peer_watermarks: (0..peers).map(|_| None).collect(),
         }
     }
 
-    /// `None` until the state service has been read once: our own earlier life may have told.
-    pub fn watermark(&self, now: Millis) -> Option<Millis> {
-        // Where there is no other node, nobody else can have told anything.
-        self.watermark.map(|at| {
-            if self.peer_watermarks.is_empty() {
-                now
-            } else {
-                at
-            }
-        })
+    /// `None` until the store has been read once: our own earlier incarnation may have confirmed
+    /// cancellations.
+    pub(super) fn watermark(&self, now: Millis) -> Option<Millis> {
+        // Without peers nobody else can have confirmed anything.
+        let is_only_node = self.peer_watermarks.is_empty();
+        self.watermark
+            .map(|watermark| if is_only_node { now } else { watermark })
     }
 
     /// All changes were read by a request sent at this time.
-    pub fn record_read(&mut self, sent: Millis) {
-        self.watermark = self.watermark.max(Some(sent));
+    pub(super) fn record_read(&mut self, sent_at: Millis) {
+        self.watermark = self.watermark.max(Some(sent_at));
         self.advance();
     }
 
-    /// A node has told all it knows, later than we asked it.
-    pub fn record_peer_answer(&mut self, peer: usize, life: u64, asked: Millis, now: Millis) {
+    /// A peer has sent all it knows, in answer to a question that we asked at this time.
+    pub(super) fn record_peer_answer(
+        &mut self,
+        peer: usize,
+        incarnation: u64,
+        asked_at: Millis,
+        now: Millis,
+    ) {
         match &mut self.peer_watermarks[peer] {
-            Some(a) if a.incarnation == life => a.watermark = a.watermark.max(asked),
+            Some(known) if known.incarnation == incarnation => {
+                known.watermark = known.watermark.max(asked_at);
+            }
             other => {
                 *other = Some(PeerWatermark {
-                    incarnation: life,
+                    incarnation,
                     first_heard_at: now,
-                    watermark: asked,
+                    watermark: asked_at,
                 });
             }
         }
         self.advance();
     }
 
+    /// Advances to the lowest of the peers' watermarks, if all of them count.
     fn advance(&mut self) {
-        let Some(upto) = self.watermark else { return };
-        let after = |a: &Option<PeerWatermark>| {
-            let a = a.as_ref().filter(|a| a.first_heard_at <= upto);
-            a.map(|a| a.watermark)
+        let Some(watermark) = self.watermark else {
+            return;
         };
-        let all: Option<Vec<Millis>> = self.peer_watermarks.iter().map(after).collect();
-        if let Some(first) = all.and_then(|all| all.into_iter().min()) {
-            self.watermark = Some(upto.max(first));
+        let lowest_of_peers = self
+            .peer_watermarks
+            .iter()
+            .map(|known| {
+                let known = known.as_ref()?;
+                (known.first_heard_at <= watermark).then_some(known.watermark)
+            })
+            .collect::<Option<Vec<Millis>>>()
+            .and_then(|watermarks| watermarks.into_iter().min());
+        if let Some(lowest) = lowest_of_peers {
+            self.watermark = Some(watermark.max(lowest));
         }
     }
 }
--- a/crates/control/src/node/cancellation_watermark_tests.rs
+++ b/crates/control/src/node/cancellation_watermark_tests.rs
@@ -2,64 +2,64 @@
 
 #[test]
 fn watermark_is_unset_before_the_first_read() {
-    let mut c = CancellationWatermark::new(1);
-    c.record_peer_answer(0, 1, 10, 11);
-    c.record_peer_answer(0, 1, 20, 21);
-    assert_eq!(c.watermark(99), None);
-    c.record_read(30);
-    assert_eq!(c.watermark(99), Some(30));
+    let mut watermark = CancellationWatermark::new(1);
+    watermark.record_peer_answer(0, 1, 10, 11);
+    watermark.record_peer_answer(0, 1, 20, 21);
+    assert_eq!(watermark.watermark(99), None);
+    watermark.record_read(30);
+    assert_eq!(watermark.watermark(99), Some(30));
 }
 
 #[test]
 fn watermark_advances_only_when_all_peers_answer() {
-    let mut c = CancellationWatermark::new(2);
-    c.record_peer_answer(0, 1, 10, 11);
-    c.record_read(15);
-    c.record_peer_answer(0, 1, 20, 21);
-    // The second was never heard: it may tell users anything.
-    assert_eq!(c.watermark(99), Some(15));
-    c.record_peer_answer(1, 1, 20, 21);
-    c.record_read(22);
-    c.record_peer_answer(0, 1, 40, 41);
-    assert_eq!(c.watermark(99), Some(22));
-    c.record_peer_answer(1, 1, 30, 31);
-    assert_eq!(c.watermark(99), Some(30));
+    let mut watermark = CancellationWatermark::new(2);
+    watermark.record_peer_answer(0, 1, 10, 11);
+    watermark.record_read(15);
+    watermark.record_peer_answer(0, 1, 20, 21);
+    // The second was never heard: it may confirm anything to users.
+    assert_eq!(watermark.watermark(99), Some(15));
+    watermark.record_peer_answer(1, 1, 20, 21);
+    watermark.record_read(22);
+    watermark.record_peer_answer(0, 1, 40, 41);
+    assert_eq!(watermark.watermark(99), Some(22));
+    watermark.record_peer_answer(1, 1, 30, 31);
+    assert_eq!(watermark.watermark(99), Some(30));
 }
 
 #[test]
 fn a_new_incarnation_answers_for_itself_only() {
-    let mut c = CancellationWatermark::new(1);
-    c.record_peer_answer(0, 1, 10, 11);
-    c.record_read(12);
-    c.record_peer_answer(0, 1, 30, 31);
-    assert_eq!(c.watermark(99), Some(30));
-    // Its earlier life may have told something between 30 and 50.
-    c.record_peer_answer(0, 2, 49, 50);
-    c.record_peer_answer(0, 2, 60, 61);
-    assert_eq!(c.watermark(99), Some(30));
-    // A read sent before the new life was heard does not show what the old one told after it.
-    c.record_read(45);
-    c.record_peer_answer(0, 2, 62, 63);
-    assert_eq!(c.watermark(99), Some(45));
-    c.record_read(50);
-    assert_eq!(c.watermark(99), Some(62));
+    let mut watermark = CancellationWatermark::new(1);
+    watermark.record_peer_answer(0, 1, 10, 11);
+    watermark.record_read(12);
+    watermark.record_peer_answer(0, 1, 30, 31);
+    assert_eq!(watermark.watermark(99), Some(30));
+    // Its earlier incarnation may have confirmed something between 30 and 50.
+    watermark.record_peer_answer(0, 2, 49, 50);
+    watermark.record_peer_answer(0, 2, 60, 61);
+    assert_eq!(watermark.watermark(99), Some(30));
+    // A read sent before the new incarnation was heard does not show what the old one confirmed after it.
+    watermark.record_read(45);
+    watermark.record_peer_answer(0, 2, 62, 63);
+    assert_eq!(watermark.watermark(99), Some(45));
+    watermark.record_read(50);
+    assert_eq!(watermark.watermark(99), Some(62));
 }
 
 #[test]
 fn late_answers_never_lower_the_watermark() {
-    let mut c = CancellationWatermark::new(1);
-    c.record_peer_answer(0, 1, 10, 11);
-    c.record_read(20);
-    c.record_peer_answer(0, 1, 30, 31);
-    c.record_peer_answer(0, 1, 25, 32);
-    c.record_read(21);
-    assert_eq!(c.watermark(99), Some(30));
+    let mut watermark = CancellationWatermark::new(1);
+    watermark.record_peer_answer(0, 1, 10, 11);
+    watermark.record_read(20);
+    watermark.record_peer_answer(0, 1, 30, 31);
+    watermark.record_peer_answer(0, 1, 25, 32);
+    watermark.record_read(21);
+    assert_eq!(watermark.watermark(99), Some(30));
 }
 
 #[test]
 fn a_node_without_others_needs_one_read() {
-    let mut c = CancellationWatermark::new(0);
-    assert_eq!(c.watermark(5), None);
-    c.record_read(10);
-    assert_eq!(c.watermark(99), Some(99));
+    let mut watermark = CancellationWatermark::new(0);
+    assert_eq!(watermark.watermark(5), None);
+    watermark.record_read(10);
+    assert_eq!(watermark.watermark(99), Some(99));
 }
--- a/crates/control/src/node/feasibility.rs
+++ b/crates/control/src/node/feasibility.rs
@@ -1,9 +1,9 @@
-//! Decides whether a job can ever run: its machine type and its team's limit.
+//! Decides whether a job can ever run: a machine type that fits its tasks, and its team's limit.
 use crate::settings::Settings;
 use stonegw_constants::RESOURCE_EPSILON;
-use stonegw_wire::msg::{Catalog, JobKind, JobSpec};
+use stonegw_wire::msg::{Catalog, JobKind, JobSpec, MachineType};
 
-/// 422 exactly where the protocol has it.
+/// Whether a job can ever run; the error is the reason in words, for a response with status 422.
 pub fn check_feasibility(
     spec: &JobSpec,
     settings: &Settings,
@@ -12,27 +12,39 @@
     let Some(team) = settings.team(&spec.team) else {
         return Err(format!("unknown team {}", spec.team));
     };
-    let fits = catalog.machine_types.iter().any(|t| {
-        spec.machine_types
-            .as_ref()
-            .is_none_or(|l| l.contains(&t.name))
-            && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && t.cpus + RESOURCE_EPSILON >= spec.cpus
-            && t.gpus + RESOURCE_EPSILON >= spec.gpus
-            && t.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
-    });
-    if !fits {
+    let fits_a_type = catalog
+        .machine_types
+        .iter()
+        .any(|machine_type| can_run_task(machine_type, spec));
+    if !fits_a_type {
         return Err("a task fits no allowed machine type".into());
     }
-    let n = match spec.kind {
+    let concurrent_tasks = match spec.kind {
         JobKind::Array => 1.0,
         // All its tasks run at the same time.
         JobKind::Service | JobKind::Gang => f64::from(spec.task_count),
     };
-    if spec.cpus * n > team.limit_cpus + RESOURCE_EPSILON
-        || spec.gpus * n > team.limit_gpus + RESOURCE_EPSILON
+    if spec.cpus * concurrent_tasks > team.limit_cpus + RESOURCE_EPSILON
+        || spec.gpus * concurrent_tasks > team.limit_gpus + RESOURCE_EPSILON
     {
         return Err("needs more than the team's limit".into());
     }
     Ok(())
 }
+
+/// Whether an empty machine of the type, in a zone that the job allows, can run one of its tasks.
+fn can_run_task(machine_type: &MachineType, spec: &JobSpec) -> bool {
+    let is_allowed = spec
+        .machine_types
+        .as_ref()
+        .is_none_or(|names| names.contains(&machine_type.name));
+    let is_in_zone = spec
+        .zone
+        .as_ref()
+        .is_none_or(|zone| machine_type.zones.contains(zone));
+    is_allowed
+        && is_in_zone
+        && machine_type.cpus + RESOURCE_EPSILON >= spec.cpus
+        && machine_type.gpus + RESOURCE_EPSILON >= spec.gpus
+        && machine_type.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
+}
