--- /dev/null
+++ b/crates/control/src/node/admission.rs
@@ -0,0 +1,36 @@
+//! Decides whether a submitted job is accepted.
+use super::feasibility::check_feasibility;
+use super::Node;
+use crate::records::JobRecord;
+use stonegw_constants::{JOB_WRITE_OVERHEAD_BYTES, MAX_TXN_BYTES, TXN_MARGIN_BYTES};
+use stonegw_wire::msg::{json_size_bytes, Catalog, JobSpec};
+
+/// Why a submission is rejected.
+pub(super) enum AdmissionError {
+    /// The job can never run (422).
+    Infeasible(String),
+    /// Its record is larger than a value may be (400).
+    TooLarge,
+}
+
+impl Node {
+    /// Whether a job that is not known yet is accepted.
+    pub(super) fn check_admission(
+        &self,
+        spec: &JobSpec,
+        catalog: &Catalog,
+    ) -> Result<(), AdmissionError> {
+        check_feasibility(spec, &self.settings, catalog).map_err(AdmissionError::Infeasible)?;
+        let record = JobRecord::submitted(spec, self.now.wall_ms);
+        if json_size_bytes(&record) > self.max_record_bytes() {
+            return Err(AdmissionError::TooLarge);
+        }
+        Ok(())
+    }
+
+    /// Bytes of JSON that a job's record may take: a value, in a transaction of its own.
+    pub(super) fn max_record_bytes(&self) -> usize {
+        let max_in_transaction = MAX_TXN_BYTES - TXN_MARGIN_BYTES - JOB_WRITE_OVERHEAD_BYTES;
+        self.store_limits.max_value_bytes().min(max_in_transaction)
+    }
+}
--- a/crates/control/src/node/budgets.rs
+++ b/crates/control/src/node/budgets.rs
@@ -1,22 +1,34 @@
-//! Divides the state service's limits among the controllers.
-use super::*;
+//! Divides the store's rate limits among the controllers.
+use super::role::Role;
+use super::Node;
 use stonegw_constants::{LEADER_READ_FRACTION, LEADER_WRITE_FRACTION};
 
+/// The burst of requests is at least so many, however low the rate.
+const MIN_READ_BURST: f64 = 4.0;
+
 impl Node {
-    /// The state service's limits hold for all nodes together: the leader gets the larger part.
+    /// Sets this node's budgets: the store's limits hold for all nodes together, and the leader
+    /// gets the larger part.
     pub(super) fn share_budgets(&mut self) {
-        let others = self.settings.peers.len().max(1) as f64;
-        let share = |part: f64| match self.role {
-            Role::Leader => part,
-            _ => (1.0 - part) / others,
+        let peers = self.settings.peers.len().max(1) as f64;
+        let share = |leader_fraction: f64| match self.role {
+            Role::Leader => leader_fraction,
+            _ => (1.0 - leader_fraction) / peers,
         };
-        let r = self.settings.store_requests_per_s * share(LEADER_READ_FRACTION);
-        let w = self.settings.store_writes_per_s * share(LEADER_WRITE_FRACTION);
-        self.read_budget.set_rate(r, r.max(4.0));
-        // A burst of one whole transaction must be possible, but never more than the state service
-        // takes in a second: it would be refused for ever.
-        let burst = w.max(self.settings.max_transaction_writes as f64);
-        self.write_budget
-            .set_rate(w, burst.min(self.settings.store_writes_per_s).max(1.0));
+        let reads_per_s = self.settings.store_requests_per_s * share(LEADER_READ_FRACTION);
+        let writes_per_s = self.settings.store_writes_per_s * share(LEADER_WRITE_FRACTION);
+        let read_burst = reads_per_s.max(MIN_READ_BURST);
+        self.read_budget.set_rate(reads_per_s, read_burst);
+        // A burst of one whole transaction must be possible, but never more than the store
+        // accepts in a second: it would be rejected for ever.
+        let write_burst = writes_per_s
+            .max(self.settings.max_transaction_writes as f64)
+            .min(self.settings.store_writes_per_s)
+            .max(1.0);
+        self.write_budget.set_rate(writes_per_s, write_burst);
     }
 }
+
+#[cfg(test)]
+#[path = "budgets_tests.rs"]
+mod tests;
--- a/crates/control/src/node/election.rs
+++ b/crates/control/src/node/election.rs
@@ -1,269 +1,196 @@
-//! The copy of the jobs, standing for election, and the claim.
-use super::*;
+//! Election of the leader: takes and gives up the lease of the leader key. [`Role`] has the states.
+use super::calls::{NodeCall, StoreCall};
+use super::responses::{decode_success, ResponseError};
+use super::role::Role;
+use super::Node;
+use crate::api::{CallError, CallResult, Millis};
+use crate::leader::Leader;
+use crate::pause::Pause;
+use crate::records::{LeaderRecord, StoredRecord, LEADER_KEY};
+use rand::Rng;
 use stonegw_constants::{
-    CANDIDACY_PAUSE_MS, ELECTION_JITTER_MS, LIST_PAGE_ENTRIES, STORE_RETRY_BACKOFF_MS,
-    STORE_TIMEOUT_MS, WATCH_GRACE_MS, WATCH_LONG_POLL_MS,
+    CANDIDACY_PAUSE_MS, ELECTION_JITTER_MS, RESIGNATION_INTERVAL_MS, STORE_RETRY_BACKOFF_MAX_MS,
+    STORE_RETRY_BACKOFF_MS,
 };
+use stonegw_wire::msg::{Condition, LeaseResponse, Txn, TxnResponse, Write};
+
+/// What an election needs besides the [`Role`].
+#[derive(Default)]
+pub(super) struct Election {
+    /// When the lease for our campaign was requested: it lasts from then on at least.
+    lease_requested_at: Millis,
+    /// No campaign before.
+    next_campaign_at: Millis,
+    resigned_at: Option<Millis>,
+    /// Leases of an earlier incarnation, of failed campaigns or of a resignation.
+    leases_to_revoke: Vec<u64>,
+}
+
+impl Election {
+    /// Not so soon after the last time.
+    pub(super) fn may_resign(&self, now: Millis) -> bool {
+        self.resigned_at
+            .is_none_or(|at| now > at + RESIGNATION_INTERVAL_MS)
+    }
+
+    /// The pause does not count as time passed.
+    pub(super) fn resume(&mut self, pause: Pause) {
+        pause.shift(&mut self.next_campaign_at);
+        pause.shift_if_set(&mut self.resigned_at);
+    }
+
+    fn record_resignation(&mut self, now: Millis, lease: u64) {
+        self.leases_to_revoke.push(lease);
+        self.next_campaign_at = now + CANDIDACY_PAUSE_MS;
+        self.resigned_at = Some(now);
+    }
+}
 
 impl Node {
-    pub(super) fn advance_replica_sync(&mut self) {
-        let now = self.now.monotonic_ms;
-        match &mut self.replica_sync {
-            ReplicaSync::Listing {
-                start_after: after,
-                retry_at,
-                request_in_flight: asked,
-                ..
-            } => {
-                if !*asked && now >= *retry_at && self.read_budget.try_take(now, 1.0) {
-                    *asked = true;
-                    let mut path =
-                        format!("/kv?prefix={REPLICATED_PREFIX}&limit={}", LIST_PAGE_ENTRIES);
-                    if let Some(a) = after {
-                        path.push_str(&format!("&since={a}"));
-                    }
-                    let call = self.outbox.start_call(
-                        Target::Store,
-                        "GET",
-                        path,
-                        vec![],
-                        STORE_TIMEOUT_MS,
-                    );
-                    self.calls_in_flight.insert(call, NodeCall::List);
-                }
-            }
-            ReplicaSync::Live => {
-                if !self.is_watching
-                    && now >= self.next_watch_at
-                    && self.read_budget.try_take(now, 1.0)
-                {
-                    self.is_watching = true;
-                    let path = format!(
-                        "/changes?prefix={REPLICATED_PREFIX}&since={}&holdMs={}",
-                        self.replica.revision, WATCH_LONG_POLL_MS
-                    );
-                    let wait = WATCH_LONG_POLL_MS + WATCH_GRACE_MS;
-                    let call = self
-                        .outbox
-                        .start_call(Target::Store, "GET", path, vec![], wait);
-                    self.calls_in_flight.insert(call, NodeCall::Watch);
-                }
-            }
-        }
+    /// The leader key that this node knows of, and its term.
+    pub(super) fn known_leader(&self) -> Option<(&LeaderRecord, u64)> {
+        let (record, term) = self.replica.leader.as_ref()?;
+        Some((record, *term))
     }
 
-    pub(super) fn relist(&mut self) {
-        self.replica_sync = ReplicaSync::Listing {
-            start_after: None,
-            first_page_revision: None,
-            retry_at: self.now.monotonic_ms + STORE_RETRY_BACKOFF_MS,
-            request_in_flight: false,
-        };
+    /// Records a term seen in a message: one above the leader's own ends its leadership.
+    pub(super) fn observe_term(&mut self, term: u64) {
+        self.higher_term = self.higher_term.max(term);
     }
 
-    pub(super) fn set_role(&mut self, to: Role) {
-        if self.role == to {
+    /// The one place where the role changes.
+    pub(super) fn set_role(&mut self, next: Role) {
+        if self.role == next {
             return;
         }
-        log::info!("role {:?} -> {:?}", self.role, to);
-        let led = self.role == Role::Leader;
-        for p in &mut self.peers {
-            p.has_all_counts = false;
-        }
-        self.role = to;
-        if led || self.role == Role::Leader {
+        log::info!("role {:?} -> {:?}", self.role, next);
+        let was_leader = self.role == Role::Leader;
+        self.peers.forget_sent_counts();
+        self.role = next;
+        if was_leader || self.role == Role::Leader {
             self.share_budgets();
         }
-        if led {
+        if was_leader {
             self.leader = None;
             self.calls_in_flight
-                .retain(|_, c| !matches!(c, NodeCall::Leader(_)));
+                .retain(|_, call| !matches!(call, NodeCall::Leader(_)));
         }
     }
 
+    /// Takes the steps of the election that are due.
     pub(super) fn advance_role(&mut self) {
-        let now = self.now.monotonic_ms;
-        let term = self.replica.term();
-        // Any higher term than our own ends our leadership, wherever we heard of it.
-        if let Some(l) = &self.leader {
-            if l.deposed || term != Some(l.term) || self.higher_term > l.term {
-                log::warn!("term {} is over", l.term);
-                if l.resigned {
-                    self.leases_to_revoke.push(l.lease);
-                    self.next_campaign_at = now + CANDIDACY_PAUSE_MS;
-                    self.resigned_at = Some(now);
-                }
-                self.set_role(Role::Follower);
-            }
-        }
-        if self.replica_sync != ReplicaSync::Live {
+        self.step_down_if_superseded();
+        if !self.replica_sync.is_live() {
             return;
         }
-        let holder = self.replica.leader.clone();
-        match (&self.role, holder) {
-            (Role::Leader, _) => {}
-            (Role::AcquiringLease, _) => {}
-            (Role::Campaigning { .. }, _) => {}
-            (Role::CampaignUnconfirmed { lease, until }, Some((l, term))) => {
-                let (lease, until) = (*lease, *until);
-                if l.nonce == self.incarnation && l.lease == lease {
-                    self.become_leader(lease, term);
-                } else if now >= until {
-                    self.leases_to_revoke.push(lease);
-                    self.set_role(Role::Follower);
-                }
-            }
-            (Role::CampaignUnconfirmed { lease, until }, None) => {
-                let (lease, until) = (*lease, *until);
-                // By now the lease is over, and with it the late claim's chance.
-                if now >= until {
-                    self.leases_to_revoke.push(lease);
-                    self.set_role(Role::Follower);
-                }
+        match self.role.clone() {
+            Role::Leader | Role::AcquiringLease | Role::Campaigning { .. } => {}
+            Role::CampaignUnconfirmed { lease, until } => {
+                self.confirm_campaign(lease, until);
             }
-            (_, Some((l, _))) => {
-                if l.node == self.settings.node_name && l.nonce != self.incarnation {
-                    // The key of our earlier life: nobody acts under it, so it need not run out.
-                    if !self.leases_to_revoke.contains(&l.lease) {
-                        log::info!("ending the lease of our earlier life");
-                        self.leases_to_revoke.push(l.lease);
-                    }
-                }
-                self.set_role(Role::Follower);
+            Role::Follower | Role::ElectionBackoff { .. } if self.known_leader().is_some() => {
+                self.follow_known_leader();
             }
-            (Role::Follower, None) => {
-                let wait = self.rng.random_range(0..ELECTION_JITTER_MS);
-                self.set_role(Role::ElectionBackoff { until: now + wait });
-            }
-            (Role::ElectionBackoff { until }, None) => {
-                let due = now >= *until && now >= self.next_campaign_at;
-                if due && self.has_synced_since_pause() && self.catalog.is_some() {
-                    self.read_budget.take_unconditionally(now, 1.0);
-                    let body = encode(&LeaseRequest {
-                        ttl_ms: self.settings.tuning.leader_lease_ttl_ms,
-                    });
-                    let call = self.outbox.start_call(
-                        Target::Store,
-                        "POST",
-                        "/grants".into(),
-                        body,
-                        STORE_TIMEOUT_MS,
-                    );
-                    self.calls_in_flight.insert(call, NodeCall::GrantLease);
-                    self.lease_requested_at = now;
-                    self.set_role(Role::AcquiringLease);
-                }
+            Role::Follower => {
+                let jitter = self.rng.random_range(0..ELECTION_JITTER_MS);
+                self.set_role(Role::ElectionBackoff {
+                    until: self.now.monotonic_ms + jitter,
+                });
             }
+            Role::ElectionBackoff { until } => self.request_lease_if_due(until),
+        }
+        self.revoke_next_lease();
+    }
+
+    /// Any term above our own ends our leadership, wherever it was seen.
+    fn step_down_if_superseded(&mut self) {
+        let Some(leader) = &self.leader else { return };
+        let is_superseded = leader.deposed
+            || self.replica.term() != Some(leader.term)
+            || self.higher_term > leader.term;
+        if !is_superseded {
+            return;
+        }
+        log::warn!("leadership of term {} has ended", leader.term);
+        if leader.resigned {
+            let now = self.now.monotonic_ms;
+            self.election.record_resignation(now, leader.lease);
         }
-        if let Some(lease) = self.leases_to_revoke.pop() {
-            if self.read_budget.try_take(now, 1.0) {
-                let path = format!("/grants/{lease}");
-                let call =
-                    self.outbox
-                        .start_call(Target::Store, "DELETE", path, vec![], STORE_TIMEOUT_MS);
-                self.calls_in_flight.insert(call, NodeCall::RevokeLease);
-            } else {
-                self.leases_to_revoke.push(lease);
+        self.set_role(Role::Follower);
+    }
+
+    /// Looks in the replica for the outcome of a campaign that had no response. Once its lease has
+    /// run out, a late transaction can't succeed any more.
+    fn confirm_campaign(&mut self, lease: u64, until: Millis) {
+        let our_term = self
+            .known_leader()
+            .filter(|(leader, _)| leader.nonce == self.incarnation && leader.lease == lease)
+            .map(|(_, term)| term);
+        if let Some(term) = our_term {
+            self.become_leader(lease, term);
+        } else if self.now.monotonic_ms >= until {
+            self.election.leases_to_revoke.push(lease);
+            self.set_role(Role::Follower);
+        }
+    }
+
+    fn follow_known_leader(&mut self) {
+        let stale_lease = self
+            .known_leader()
+            .filter(|(leader, _)| {
+                leader.node == self.settings.node_name && leader.nonce != self.incarnation
+            })
+            .map(|(leader, _)| leader.lease);
+        if let Some(lease) = stale_lease {
+            // The key of our earlier incarnation: nobody acts under it, so its expiry need not be
+            // waited for.
+            if !self.election.leases_to_revoke.contains(&lease) {
+                log::info!("revoking the lease of our earlier incarnation");
+                self.election.leases_to_revoke.push(lease);
             }
         }
+        self.set_role(Role::Follower);
     }
 
-    pub(super) fn become_leader(&mut self, lease: u64, term: u64) {
-        let Some(catalog) = self.catalog.clone() else {
+    fn request_lease_if_due(&mut self, until: Millis) {
+        let now = self.now.monotonic_ms;
+        let is_due = now >= until && now >= self.election.next_campaign_at;
+        if !is_due || !self.has_synced_since_pause() || self.catalog.get().is_none() {
             return;
-        };
-        log::info!("leading in term {term}");
-        self.higher_term = self.higher_term.max(term);
-        self.leader = Some(Box::new(Leader::new(
-            term,
-            lease,
-            self.now.monotonic_ms,
-            self.lease_requested_at,
-            catalog,
-            &self.settings,
-        )));
-        self.set_role(Role::Leader);
+        }
+        self.read_budget.take_unconditionally(now, 1.0);
+        self.grant_lease(self.settings.tuning.leader_lease_ttl_ms);
+        self.election.lease_requested_at = now;
+        self.set_role(Role::AcquiringLease);
     }
 
-    pub(super) fn handle_list_page(&mut self, result: CallResult) {
-        let now = self.now.monotonic_ms;
-        let ReplicaSync::Listing {
-            start_after: after,
-            first_page_revision: first,
-            retry_at,
-            request_in_flight: asked,
-        } = &mut self.replica_sync
-        else {
+    fn revoke_next_lease(&mut self) {
+        let Some(lease) = self.election.leases_to_revoke.last().copied() else {
             return;
         };
-        *asked = false;
-        *retry_at = now + STORE_RETRY_BACKOFF_MS;
-        let body = match result {
-            Ok((200, body)) => body,
-            other => {
-                log::debug!("list failed: {}", describe_result(&other));
-                return;
-            }
-        };
-        let page: ListPage<ReplicatedRecord> = match decode(&body) {
-            Ok(p) => p,
-            Err(e) => {
-                log::warn!("list not understood: {e}");
-                return;
-            }
-        };
-        let start = *first.get_or_insert(page.revision);
-        *retry_at = now;
-        *after = page.entries.last().map(|e| e.key.clone()).or(after.take());
-        let leader_listed = page.entries.iter().any(|e| e.key == LEADER_KEY);
-        self.replica.apply_page(page.entries);
-        // Old ones: who lacks some of them gets them with our next answer.
-        self.replica.unsent_cancellations.clear();
-        if !page.has_more {
-            if !leader_listed {
-                self.replica.clear_leader(page.revision);
-            }
-            self.replica.revision = self.replica.revision.max(start);
-            self.replica_sync = ReplicaSync::Live;
-            log::info!(
-                "{} jobs known at revision {}",
-                self.replica.jobs.len(),
-                start
-            );
+        if self.read_budget.try_take(self.now.monotonic_ms, 1.0) {
+            self.election.leases_to_revoke.pop();
+            self.revoke_lease(lease);
         }
     }
 
-    /// `Some(true)`: applied; `Some(false)`: list again; `None`: no answer.
-    pub(super) fn apply_changes(&mut self, result: CallResult) -> Option<bool> {
-        match result {
-            Ok((200, body)) => match decode::<WatchResponse<ReplicatedRecord>>(&body) {
-                Ok(c) => {
-                    self.replica.apply_changes(c);
-                    self.announce_cancellations();
-                    Some(true)
-                }
-                Err(e) => {
-                    log::warn!("changes not understood: {e}");
-                    None
-                }
-            },
-            Ok((410, _)) => Some(false),
-            // So much has changed that the pages of a list are shorter; the same answer would come again.
-            Err(CallError::ResponseTooLarge) => Some(false),
-            other => {
-                log::debug!("no changes: {}", describe_result(&other));
-                None
+    pub(super) fn handle_lease_granted(&mut self, result: CallResult) {
+        let backoff_ms = match decode_success::<LeaseResponse>(result) {
+            Ok(response) => return self.campaign(response.lease_id),
+            Err(ResponseError::Failed(_)) => STORE_RETRY_BACKOFF_MS,
+            Err(error @ ResponseError::Undecodable(_)) => {
+                error.log("acquiring the leader lease");
+                STORE_RETRY_BACKOFF_MAX_MS
             }
-        }
+        };
+        self.set_role(Role::ElectionBackoff {
+            until: self.now.monotonic_ms + backoff_ms,
+        });
     }
 
-    pub(super) fn campaign(&mut self, lease: u64) {
+    /// Creates the leader key, unless there is one.
+    fn campaign(&mut self, lease: u64) {
         let now = self.now.monotonic_ms;
-        let record = LeaderRecord {
-            node: self.settings.node_name.clone(),
-            nonce: self.incarnation,
-            lease,
-        };
         self.read_budget.take_unconditionally(now, 1.0);
         self.write_budget.take_unconditionally(now, 1.0);
         let txn = Txn {
@@ -273,49 +200,70 @@
             }],
             writes: vec![Write::Put {
                 key: LEADER_KEY.into(),
-                value: StoredRecord::Leader(record),
+                value: StoredRecord::Leader(self.own_leader_record(lease)),
                 lease_id: Some(lease),
             }],
         };
-        self.send_transaction(&txn, NodeCall::Campaign { lease });
+        self.send_transaction(StoreCall::Campaign { lease }, &txn);
         self.set_role(Role::Campaigning { lease });
     }
 
+    fn own_leader_record(&self, lease: u64) -> LeaderRecord {
+        LeaderRecord {
+            node: self.settings.node_name.clone(),
+            nonce: self.incarnation,
+            lease,
+        }
+    }
+
     pub(super) fn handle_campaign_result(&mut self, lease: u64, result: CallResult) {
         let now = self.now.monotonic_ms;
         match result {
-            Ok((200, body)) => {
-                if let Ok(a) = decode::<TxnResponse>(&body) {
-                    let record = LeaderRecord {
-                        node: self.settings.node_name.clone(),
-                        nonce: self.incarnation,
-                        lease,
-                    };
-                    self.replica.record_own_election(record, a.revision);
-                    if self.replica.term() == Some(a.revision) {
-                        return self.become_leader(lease, a.revision);
-                    }
-                }
-                self.leases_to_revoke.push(lease);
-                self.set_role(Role::Follower);
-            }
+            Ok((200, _)) => self.handle_campaign_won(lease, result),
             Ok((409 | 400 | 429 | 503, _)) | Err(CallError::NotSent) => {
-                self.leases_to_revoke.push(lease);
-                let wait = self.rng.random_range(0..ELECTION_JITTER_MS);
+                self.election.leases_to_revoke.push(lease);
+                let jitter = self.rng.random_range(0..ELECTION_JITTER_MS);
                 self.set_role(Role::ElectionBackoff {
-                    until: now + STORE_RETRY_BACKOFF_MS + wait,
+                    until: now + STORE_RETRY_BACKOFF_MS + jitter,
                 });
             }
-            // It may have been carried out, or may be later: reading settles it. After the
-            // lease's life it no longer can be.
+            // The transaction may have been carried out, or may be later: a read shows it. After
+            // the time to live of the lease it no longer can be.
             _ => self.set_role(Role::CampaignUnconfirmed {
                 lease,
                 until: now + self.settings.tuning.leader_lease_ttl_ms,
             }),
         }
     }
-}
 
-#[cfg(test)]
-#[path = "election_tests.rs"]
-mod tests;
+    fn handle_campaign_won(&mut self, lease: u64, result: CallResult) {
+        if let Ok(response) = decode_success::<TxnResponse>(result) {
+            let record = self.own_leader_record(lease);
+            let term = response.revision;
+            self.replica.record_own_election(record, term);
+            // The replica may know already that the key was deleted again.
+            if self.replica.term() == Some(term) {
+                return self.become_leader(lease, term);
+            }
+        }
+        self.election.leases_to_revoke.push(lease);
+        self.set_role(Role::Follower);
+    }
+
+    fn become_leader(&mut self, lease: u64, term: u64) {
+        let Some(catalog) = self.catalog.get().cloned() else {
+            return;
+        };
+        log::info!("leading in term {term}");
+        self.observe_term(term);
+        self.leader = Some(Box::new(Leader::new(
+            term,
+            lease,
+            self.now.monotonic_ms,
+            self.election.lease_requested_at,
+            catalog,
+            &self.settings,
+        )));
+        self.set_role(Role::Leader);
+    }
+}
--- a/crates/control/src/node/feature_gate.rs
+++ b/crates/control/src/node/feature_gate.rs
@@ -1,31 +1,46 @@
 //! The feature gate of a rolling upgrade.
 //!
-//! During an upgrade processes of an earlier release run beside this one and can't read what is new
-//! in it. So each node stores under `v/<node>`, which earlier releases never read, the release
-//! that it runs; the record is never withdrawn. A node's gate opens once it has read such a
-//! record, of this release or a higher one, of itself and of every known peer, and stays open
-//! for the life of the process. Until then nothing is stored or sent that an earlier release
-//! can't read. Answers that fail, are lost or come late only delay it.
-use super::*;
-use crate::records::{version_key, VersionRecord, VERSIONS_PREFIX, VERSION_FIELD};
+//! During an upgrade processes of an earlier version run beside this one and can't read what is new
+//! in it. So each node stores under `v/<node>`, which earlier versions never read, the version that
+//! it runs; the record is never deleted. A node's gate opens once it has read such a record, of
+//! this version or a higher one, of itself and of every peer, and stays open for the life of the
+//! process. Until then nothing is stored or sent that an earlier version can't read. Responses that
+//! fail, are lost or come late only delay it.
+//!
+//! A scan reads all version records, page by page:
+//!
+//! | state | goes to |
+//! | --- | --- |
+//! | `Waiting` | `ReadPending`, when the next scan is due |
+//! | `ReadPending` | `ReadInFlight`, when the budget allows the request |
+//! | `ReadInFlight` | `ReadPending` for the next page; after the last page `Open`, `WritePending` if our own record is not current, `Waiting` if a peer's is not; `Waiting` if the read failed |
+//! | `WritePending` | `WriteInFlight`, when the budget allows the transaction |
+//! | `WriteInFlight` | `Waiting`, whatever became of the transaction |
+//! | `Open` | nothing: it is final |
+use super::calls::StoreCall;
+use super::responses::decode_success;
+use super::Node;
+use crate::api::{describe_result, CallResult, Millis};
+use crate::records::{version_key, StoredRecord, VersionRecord, VERSIONS_PREFIX, VERSION_FIELD};
 use serde::de::IgnoredAny;
 use serde::Deserialize;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use stonegw_constants::{
-    FEATURE_GATE_READ_FRACTION, FEATURE_GATE_READ_INTERVAL_MS, LIST_PAGE_ENTRIES, PROGRAM_VERSION,
-    STORE_TIMEOUT_MS,
+    FEATURE_GATE_READ_FRACTION, FEATURE_GATE_READ_INTERVAL_MS, PROGRAM_VERSION,
 };
+use stonegw_wire::msg::{Condition, ListPage, Txn, Write};
 
-/// What stands under `v/`: the fields of a record. Not `ReleaseRecord` itself, for which a list,
-/// whose elements could be taken for its fields in turn, would pass.
+/// What is stored under `v/`: the fields of a record. Not `VersionRecord` itself, as which a list
+/// would pass too, its elements taken for the fields in turn.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(super) enum StoredVersionRecord {
     Known(BTreeMap<String, StoredField>),
-    /// A value of an unknown form stands for no release.
+    /// A value of an unknown form names no version.
     Unknown(IgnoredAny),
 }
 
+/// A field of such a record.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(super) enum StoredField {
@@ -34,45 +49,45 @@
 }
 
 impl StoredVersionRecord {
-    /// Whether whoever stored it runs this release or a higher one.
+    /// Whether the node that stored it runs this version or a higher one.
     fn is_current(&self) -> bool {
         let StoredVersionRecord::Known(fields) = self else {
             return false;
         };
         let field = fields.get(VERSION_FIELD);
-        matches!(field, Some(StoredField::Number(release)) if *release >= PROGRAM_VERSION)
+        matches!(field, Some(StoredField::Number(version)) if *version >= PROGRAM_VERSION)
     }
 }
 
-/// What the pages of one read of `v/` have shown so far.
+/// What the pages of one scan have shown so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct VersionScan {
     /// The last key of the last page.
     start_after: Option<String>,
-    /// Keys of nodes that run this release or a higher one.
+    /// Keys of nodes that run this version or a higher one.
     current_keys: BTreeSet<String>,
-    /// The stamp of our own record, 0 where none was read.
+    /// The revision of our own record, 0 where none was read.
     own_record_revision: u64,
 }
 
-/// All states but the last are closed.
+/// The states of the gate, as the module describes them. All but the last are closed.
 #[derive(Clone, Debug, PartialEq)]
 enum FeatureGateState {
-    /// The next round of reading begins then.
+    /// The next scan begins at this time.
     Waiting { until: Millis },
-    /// The next page of a round is to be asked for.
+    /// The next page of a scan is to be requested.
     ReadPending(VersionScan),
-    /// That page is asked for.
+    /// That page is requested.
     ReadInFlight(VersionScan),
-    /// Our record is missing, or of a lower release at this stamp, and is to be stored.
+    /// Our record is absent, or of a lower version at this revision, and is to be stored.
     WritePending { revision: u64 },
-    /// The transaction that stores it is on its way.
+    /// The transaction that stores it is in flight.
     WriteInFlight,
-    /// Every known node runs this release or a higher one.
+    /// Every controller runs this version or a higher one.
     Open,
 }
 
-/// Whether every controller is known to run this release.
+/// Whether every controller is known to run this version.
 pub(super) struct FeatureGate {
     state: FeatureGateState,
     own_key: String,
@@ -81,9 +96,11 @@
 }
 
 impl FeatureGate {
-    pub fn new(node: &str, peers: &[String]) -> FeatureGate {
+    /// The closed gate of a node with these peers; a scan is due at once.
+    pub(super) fn new(node: &str, peers: &[String]) -> FeatureGate {
         let own_key = version_key(node);
-        let mut required_keys: BTreeSet<String> = peers.iter().map(|p| version_key(p)).collect();
+        let mut required_keys: BTreeSet<String> =
+            peers.iter().map(|peer| version_key(peer)).collect();
         required_keys.insert(own_key.clone());
         FeatureGate {
             state: FeatureGateState::Waiting { until: 0 },
@@ -92,105 +109,111 @@
         }
     }
 
-    pub fn is_open(&self) -> bool {
+    /// Every controller is known to run this version or a higher one.
+    pub(super) fn is_open(&self) -> bool {
         self.state == FeatureGateState::Open
     }
 
     /// The one place where the state changes.
-    fn transition_to(&mut self, to: FeatureGateState) {
-        if to == FeatureGateState::Open {
+    fn transition_to(&mut self, next: FeatureGateState) {
+        if next == FeatureGateState::Open {
             log::info!(
-                "every controller runs release {} or higher",
-                PROGRAM_VERSION
+                "feature gate open: every controller runs version {PROGRAM_VERSION} or higher"
             );
         }
-        self.state = to;
+        self.state = next;
     }
 
-    /// `Waiting` -> `PageDue`, when its time has come.
+    /// `Waiting` -> `ReadPending`, when a scan is due.
     fn start_scan_if_due(&mut self, now: Millis) {
         if matches!(self.state, FeatureGateState::Waiting { until } if now >= until) {
             self.transition_to(FeatureGateState::ReadPending(VersionScan::default()));
         }
     }
 
-    /// `PageDue` -> `Reading`.
+    /// `ReadPending` -> `ReadInFlight`.
     fn mark_read_in_flight(&mut self) {
-        if let FeatureGateState::ReadPending(round) = &self.state {
-            let round = round.clone();
-            self.transition_to(FeatureGateState::ReadInFlight(round));
+        if let FeatureGateState::ReadPending(scan) = &self.state {
+            let scan = scan.clone();
+            self.transition_to(FeatureGateState::ReadInFlight(scan));
         }
     }
 
-    /// `Reading` -> `PageDue`, `RecordDue`, `Open`, or `Waiting` for those that are missing.
-    fn apply_page(&mut self, page: ListPage<StoredVersionRecord>, next_round: Millis) {
-        let FeatureGateState::ReadInFlight(round) = &self.state else {
+    /// `ReadInFlight` -> `ReadPending`, `WritePending`, `Open`, or `Waiting` for the absent nodes.
+    fn apply_page(&mut self, page: ListPage<StoredVersionRecord>, next_scan_at: Millis) {
+        let FeatureGateState::ReadInFlight(scan) = &self.state else {
             return;
         };
-        let mut round = round.clone();
+        let mut scan = scan.clone();
         let last = page.entries.last().map(|entry| entry.key.clone());
         for entry in page.entries {
             if entry.key == self.own_key {
-                round.own_record_revision = entry.revision;
+                scan.own_record_revision = entry.revision;
             }
             if entry.value.is_current() {
-                round.current_keys.insert(entry.key);
+                scan.current_keys.insert(entry.key);
             }
         }
         if page.has_more && last.is_some() {
-            round.start_after = last;
-            return self.transition_to(FeatureGateState::ReadPending(round));
+            scan.start_after = last;
+            return self.transition_to(FeatureGateState::ReadPending(scan));
         }
-        if !round.current_keys.contains(&self.own_key) {
-            let revision = round.own_record_revision;
+        if !scan.current_keys.contains(&self.own_key) {
+            let revision = scan.own_record_revision;
             return self.transition_to(FeatureGateState::WritePending { revision });
         }
-        if self.required_keys.is_subset(&round.current_keys) {
+        if self.required_keys.is_subset(&scan.current_keys) {
             return self.transition_to(FeatureGateState::Open);
         }
-        let missing: Vec<&String> = self.required_keys.difference(&round.current_keys).collect();
-        log::debug!("gate closed, missing {missing:?}");
-        self.transition_to(FeatureGateState::Waiting { until: next_round });
+        let absent: Vec<&String> = self.required_keys.difference(&scan.current_keys).collect();
+        log::debug!("feature gate closed: no current version of {absent:?}");
+        self.transition_to(FeatureGateState::Waiting {
+            until: next_scan_at,
+        });
     }
 
-    /// `Reading` -> `Waiting`.
-    fn handle_read_failure(&mut self, next_round: Millis) {
+    /// `ReadInFlight` -> `Waiting`.
+    fn handle_read_failure(&mut self, next_scan_at: Millis) {
         if matches!(self.state, FeatureGateState::ReadInFlight(_)) {
-            self.transition_to(FeatureGateState::Waiting { until: next_round });
+            self.transition_to(FeatureGateState::Waiting {
+                until: next_scan_at,
+            });
         }
     }
 
-    /// `RecordDue` -> `Recording`.
+    /// `WritePending` -> `WriteInFlight`.
     fn mark_write_in_flight(&mut self) {
         if matches!(self.state, FeatureGateState::WritePending { .. }) {
             self.transition_to(FeatureGateState::WriteInFlight);
         }
     }
 
-    /// `Recording` -> `Waiting`: whatever became of the transaction, the next round shows it.
-    fn handle_write_reply(&mut self, next_round: Millis) {
+    /// `WriteInFlight` -> `Waiting`: the next scan shows what became of the transaction.
+    fn handle_write_reply(&mut self, next_scan_at: Millis) {
         if self.state == FeatureGateState::WriteInFlight {
-            self.transition_to(FeatureGateState::Waiting { until: next_round });
+            self.transition_to(FeatureGateState::Waiting {
+                until: next_scan_at,
+            });
         }
     }
 }
 
 impl Node {
-    /// Whether every controller is known to run a release that can read a gang's record.
+    /// Whether every controller is known to run a version that can read a gang's record.
     pub fn gangs_enabled(&self) -> bool {
         self.feature_gate.is_open()
     }
 
-    /// Lets the gate send what is due, within the budget, once the copy of `c/` is live.
+    /// Sends what the gate needs, within the budget, once the replica is live.
     pub(super) fn advance_feature_gate(&mut self) {
-        if self.replica_sync != ReplicaSync::Live {
+        if !self.replica_sync.is_live() {
             return;
         }
         self.feature_gate.start_scan_if_due(self.now.monotonic_ms);
         match &self.feature_gate.state {
-            FeatureGateState::ReadPending(round) => {
-                let after = round.start_after.clone();
-                self.request_version_records(after);
+            FeatureGateState::ReadPending(scan) => {
+                let start_after = scan.start_after.clone();
+                self.request_version_records(start_after);
             }
             FeatureGateState::WritePending { revision } => {
                 let revision = *revision;
@@ -203,23 +226,16 @@
         }
     }
 
-    fn request_version_records(&mut self, after: Option<String>) {
+    fn request_version_records(&mut self, start_after: Option<String>) {
         if !self.read_budget.try_take(self.now.monotonic_ms, 1.0) {
             return;
         }
-        let mut path = format!("/kv?prefix={VERSIONS_PREFIX}&limit={}", LIST_PAGE_ENTRIES);
-        if let Some(key) = after {
-            path.push_str(&format!("&since={key}"));
-        }
-        let call = self
-            .outbox
-            .start_call(Target::Store, "GET", path, vec![], STORE_TIMEOUT_MS);
-        self.calls_in_flight
-            .insert(call, NodeCall::ReadVersionRecords);
+        let call = StoreCall::ReadVersionRecords;
+        self.list_prefix(call, VERSIONS_PREFIX, start_after.as_deref());
         self.feature_gate.mark_read_in_flight();
     }
 
-    /// The condition makes a late or repeated transaction harmless: a record that stands is only
+    /// The condition makes a late or repeated transaction harmless: a stored record is only
     /// replaced while it is the one that was read.
     fn store_version_record(&mut self, revision: u64) {
         let now = self.now.monotonic_ms;
@@ -242,42 +258,39 @@
                 lease_id: None,
             }],
         };
-        self.send_transaction(&txn, NodeCall::StoreVersionRecord);
+        self.send_transaction(StoreCall::StoreVersionRecord, &txn);
         self.feature_gate.mark_write_in_flight();
     }
 
     pub(super) fn handle_version_records(&mut self, result: CallResult) {
-        let next_round = self.next_version_scan_at();
-        let page = match result {
-            Ok((200, body)) => decode::<ListPage<StoredVersionRecord>>(&body),
-            other => Err(describe_result(&other)),
-        };
-        match page {
-            Ok(page) => self.feature_gate.apply_page(page, next_round),
-            Err(why) => {
-                log::debug!("releases not read: {why}");
-                self.feature_gate.handle_read_failure(next_round);
+        let next_scan_at = self.next_version_scan_at();
+        match decode_success::<ListPage<StoredVersionRecord>>(result) {
+            Ok(page) => self.feature_gate.apply_page(page, next_scan_at),
+            Err(error) => {
+                error.log("reading the version records");
+                self.feature_gate.handle_read_failure(next_scan_at);
             }
         }
     }
 
     pub(super) fn handle_version_record_stored(&mut self, result: CallResult) {
-        let next_round = match result {
+        let next_scan_at = match result {
             Ok((200, _)) => self.now.monotonic_ms,
             other => {
-                log::debug!("release not recorded: {}", describe_result(&other));
+                let reason = describe_result(&other);
+                log::debug!("storing the version record failed: {reason}");
                 self.next_version_scan_at()
             }
         };
-        self.feature_gate.handle_write_reply(next_round);
+        self.feature_gate.handle_write_reply(next_scan_at);
     }
 
-    /// Rounds keep to a small part of the node's budget of requests.
+    /// Scans keep to a small part of the node's read budget.
     fn next_version_scan_at(&self) -> Millis {
-        let per_second = self.read_budget.tokens_per_s() * FEATURE_GATE_READ_FRACTION;
-        let least_ms = (1e3 / per_second) as Millis;
+        let scans_per_s = self.read_budget.tokens_per_s() * FEATURE_GATE_READ_FRACTION;
+        let budget_interval_ms = (1e3 / scans_per_s) as Millis;
         self.now
             .monotonic_ms
-            .saturating_add(least_ms.max(FEATURE_GATE_READ_INTERVAL_MS))
+            .saturating_add(budget_interval_ms.max(FEATURE_GATE_READ_INTERVAL_MS))
     }
 }
--- /dev/null
+++ b/crates/control/src/node/job_status.rs
@@ -0,0 +1,63 @@
+//! The status of a job as users see it.
+use super::Node;
+use crate::records::JobEnd;
+use stonegw_wire::frame::TaskCounts;
+use stonegw_wire::msg::{JobPhase, JobStatus};
+
+/// How many tasks of a job are done and running, as the leader last sent it.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct JobCounts {
+    done: u32,
+    running: u32,
+}
+
+impl From<&TaskCounts> for JobCounts {
+    fn from(counts: &TaskCounts) -> JobCounts {
+        JobCounts {
+            done: counts.done.get(),
+            running: counts.running.get(),
+        }
+    }
+}
+
+impl Node {
+    /// The status of a job with its counts, as this node knows them.
+    pub(super) fn job_status(&self, job_id: &str) -> JobStatus {
+        let Some(job) = self.replica.jobs.get(job_id) else {
+            return job_status_without_counts(job_id, JobPhase::Queued);
+        };
+        let JobCounts { done, running } = self.task_counts(job_id);
+        let (phase, done, running) = match job.record.end {
+            Some(JobEnd::Done) => (JobPhase::Done, job.record.tasks, 0),
+            Some(JobEnd::Cancelled) => (JobPhase::Cancelled, done, 0),
+            None if running > 0 => (JobPhase::Running, done, running),
+            None => (JobPhase::Queued, done, 0),
+        };
+        JobStatus {
+            id: job_id.into(),
+            phase,
+            tasks_done: Some(done),
+            tasks_running: Some(running),
+        }
+    }
+
+    fn task_counts(&self, job_id: &str) -> JobCounts {
+        match &self.leader {
+            Some(leader) => {
+                let (done, running) = leader.task_counts(job_id);
+                JobCounts { done, running }
+            }
+            None => self.job_counts.get(job_id).copied().unwrap_or_default(),
+        }
+    }
+}
+
+/// The status of a job that was submitted or cancelled just now.
+pub(super) fn job_status_without_counts(job_id: &str, phase: JobPhase) -> JobStatus {
+    JobStatus {
+        id: job_id.into(),
+        phase,
+        tasks_done: None,
+        tasks_running: None,
+    }
+}
--- a/crates/control/src/node/pending_request.rs
+++ b/crates/control/src/node/pending_request.rs
@@ -1,19 +1,74 @@
-//! Users' requests that wait for the state service.
+//! Users' requests that wait for the key-value store.
 use crate::api::Millis;
-use stonegw_wire::msg::JobSpec;
+use stonegw_constants::{POLL_TIMEOUT_MS, SUBMISSION_TIMEOUT_MS};
+use stonegw_wire::msg::{JobKind, JobSpec};
 
-/// What a user asks for.
+/// What a user requests.
 pub(super) enum UserRequest {
+    /// The status of the job with this id.
     Poll(String),
+    /// A new job.
     Submit(Box<JobSpec>),
+    /// The cancellation of the job with this id.
     Cancel(String),
 }
 
-/// A user's request that waits for the state service.
+impl UserRequest {
+    /// The job that it is about.
+    pub(super) fn job_id(&self) -> &str {
+        match self {
+            UserRequest::Poll(job_id) | UserRequest::Cancel(job_id) => job_id,
+            UserRequest::Submit(spec) => &spec.id,
+        }
+    }
+
+    /// It submits a gang, which earlier versions of the program can't read.
+    pub(super) fn is_gang_submission(&self) -> bool {
+        matches!(self, UserRequest::Submit(spec) if spec.kind == JobKind::Gang)
+    }
+}
+
+/// A user's request that waits for the store.
 pub(super) struct PendingRequest {
-    pub(super) id: u64,
+    /// The HTTP request to answer.
+    pub(super) request_id: u64,
     pub(super) request: UserRequest,
     pub(super) expires_at: Millis,
-    /// Times it went through a store; bounds a quarrel over one key.
+    /// How often it was part of a transaction that met a conflict.
     pub(super) commit_attempts: u8,
 }
+
+impl PendingRequest {
+    /// A request that has come just now.
+    pub(super) fn new(request_id: u64, request: UserRequest, now: Millis) -> PendingRequest {
+        let timeout_ms = match request {
+            UserRequest::Poll(_) => POLL_TIMEOUT_MS,
+            UserRequest::Submit(_) | UserRequest::Cancel(_) => SUBMISSION_TIMEOUT_MS,
+        };
+        PendingRequest {
+            request_id,
+            request,
+            expires_at: now + timeout_ms,
+            commit_attempts: 0,
+        }
+    }
+
+    /// Its time is over.
+    pub(super) fn is_expired(&self, now: Millis) -> bool {
+        now >= self.expires_at
+    }
+}
+
+/// Removes the expired requests from a queue. The order of the others changes.
+pub(super) fn take_expired(queue: &mut Vec<PendingRequest>, now: Millis) -> Vec<PendingRequest> {
+    let mut expired = vec![];
+    let mut index = 0;
+    while index < queue.len() {
+        if queue[index].is_expired(now) {
+            expired.push(queue.swap_remove(index));
+        } else {
+            index += 1;
+        }
+    }
+    expired
+}
--- /dev/null
+++ b/crates/control/src/node/read_barriers.rs
@@ -0,0 +1,194 @@
+//! Read barriers: requests wait until the replica holds all that was stored before they came.
+//!
+//! A barrier is a read of the changes that is sent after the requests came; all that wait at that
+//! moment share it. Barriers also serve the node itself: they prove that the store is available
+//! again, and they move the cancellation watermark on.
+use super::admission::AdmissionError;
+use super::calls::StoreCall;
+use super::pending_request::{PendingRequest, UserRequest};
+use super::replica_sync::ChangesOutcome;
+use super::role::Role;
+use super::Node;
+use crate::api::{CallResult, Millis};
+use crate::records::REPLICATED_PREFIX;
+use stonegw_constants::{
+    READ_BARRIER_INTERVAL_MS, REPLICA_CONFIRM_INTERVAL_MS, STORE_PROBE_INTERVAL_MS,
+    STORE_TIMEOUT_MS,
+};
+use stonegw_wire::msg::JobSpec;
+
+/// So many barriers may be in flight: while one hangs, another may be answered.
+const MAX_BARRIERS_IN_FLIGHT: usize = 2;
+/// A barrier is given at least this long, ms, however soon its requests expire.
+const MIN_BARRIER_TIMEOUT_MS: Millis = 100;
+
+/// The requests that wait for the next barrier, and when it may be sent.
+#[derive(Default)]
+pub(super) struct ReadBarriers {
+    waiting: Vec<PendingRequest>,
+    in_flight: usize,
+    next_at: Millis,
+}
+
+impl ReadBarriers {
+    /// Adds a request, to be answered after the next barrier.
+    pub(super) fn enqueue(&mut self, pending: PendingRequest) {
+        self.waiting.push(pending);
+    }
+
+    /// The requests that wait for the next barrier.
+    pub(super) fn waiting_mut(&mut self) -> &mut Vec<PendingRequest> {
+        &mut self.waiting
+    }
+
+    /// The next barrier may be sent at once: what is known was read before a pause.
+    pub(super) fn resume(&mut self, now: Millis) {
+        self.next_at = now;
+    }
+
+    /// The next barrier has been possible for this long, but nothing needed it.
+    fn has_been_idle_for(&self, interval_ms: Millis, now: Millis) -> bool {
+        now >= self.next_at + interval_ms
+    }
+
+    /// The time that the most urgent request leaves.
+    fn timeout_ms(&self, now: Millis) -> Millis {
+        self.waiting
+            .iter()
+            .map(|pending| pending.expires_at - now)
+            .min()
+            .unwrap_or(STORE_TIMEOUT_MS)
+            .clamp(MIN_BARRIER_TIMEOUT_MS, STORE_TIMEOUT_MS)
+    }
+}
+
+impl Node {
+    /// Adds a request for the next barrier, unless the store can't be read.
+    pub(super) fn queue_for_barrier(&mut self, pending: PendingRequest) {
+        if !self.replica_sync.is_live() || self.is_store_unavailable() {
+            return self.reply_unavailable(pending.request_id);
+        }
+        self.read_barriers.enqueue(pending);
+    }
+
+    /// Sends a barrier if one is needed and allowed.
+    pub(super) fn advance_read_barriers(&mut self) {
+        let now = self.now.monotonic_ms;
+        if (self.read_barriers.waiting.is_empty() && !self.is_barrier_needed_by_node())
+            || !self.replica_sync.is_live()
+            || self.read_barriers.in_flight >= MAX_BARRIERS_IN_FLIGHT
+            || now < self.read_barriers.next_at
+            || !self.read_budget.try_take(now, 1.0)
+        {
+            return;
+        }
+        self.read_barriers.in_flight += 1;
+        self.read_barriers.next_at = now + READ_BARRIER_INTERVAL_MS;
+        let timeout_ms = self.read_barriers.timeout_ms(now);
+        let call = StoreCall::ReadBarrier {
+            requests: std::mem::take(&mut self.read_barriers.waiting),
+            sent_at: now,
+        };
+        let since_revision = self.replica.revision;
+        self.read_changes(call, REPLICATED_PREFIX, since_revision, 0, timeout_ms);
+    }
+
+    /// Without requests nothing else would show that the store is available again: the watch may
+    /// hang, and requests are rejected meanwhile.
+    fn is_barrier_needed_by_node(&self) -> bool {
+        let is_probe_due = self.store_availability.is_failing()
+            && self
+                .read_barriers
+                .has_been_idle_for(STORE_PROBE_INTERVAL_MS, self.now.monotonic_ms);
+        is_probe_due || self.is_confirming_read_due() || !self.has_synced_since_pause()
+    }
+
+    /// The replica is to be confirmed by a read: the leader must not miss a cancellation because
+    /// its watch hangs, and nothing else helps where the peers' answers don't move the watermark.
+    fn is_confirming_read_due(&self) -> bool {
+        let is_needed =
+            self.role == Role::Leader || self.watermark_lag_ms() > REPLICA_CONFIRM_INTERVAL_MS;
+        is_needed
+            && self
+                .read_barriers
+                .has_been_idle_for(REPLICA_CONFIRM_INTERVAL_MS, self.now.monotonic_ms)
+    }
+
+    pub(super) fn handle_read_barrier_result(
+        &mut self,
+        requests: Vec<PendingRequest>,
+        sent_at: Millis,
+        result: CallResult,
+    ) {
+        self.read_barriers.in_flight -= 1;
+        match self.apply_changes(result) {
+            ChangesOutcome::Applied => {
+                self.cancellation_watermark.record_read(sent_at);
+                for pending in requests {
+                    self.reply_after_barrier(pending);
+                }
+            }
+            ChangesOutcome::RelistNeeded => {
+                self.relist();
+                self.reply_unavailable_to_all(requests);
+            }
+            ChangesOutcome::Failed => self.reply_unavailable_to_all(requests),
+        }
+    }
+
+    /// Handles a request once the replica is as new as the request.
+    fn reply_after_barrier(&mut self, pending: PendingRequest) {
+        // Read before a pause: other nodes may have confirmed something newer since.
+        if pending.is_expired(self.now.monotonic_ms) {
+            return self.reply_unavailable(pending.request_id);
+        }
+        let request_id = pending.request_id;
+        let job = self.replica.jobs.get(pending.request.job_id());
+        match (&pending.request, job) {
+            (UserRequest::Submit(spec), None) => match self.admit_unknown_job(spec) {
+                Admission::Accepted => self.enqueue_submission(pending),
+                Admission::Rejected { status, reason } => {
+                    self.outbox.reply_error(request_id, status, None, &reason);
+                }
+                Admission::Undecided => self.reply_unavailable(request_id),
+            },
+            (UserRequest::Poll(_) | UserRequest::Cancel(_), None) => {
+                self.outbox
+                    .reply_error(request_id, 404, None, "no such job");
+            }
+            (UserRequest::Cancel(_), Some(job)) if job.record.end.is_none() => {
+                self.user_commits.enqueue(pending);
+            }
+            (_, Some(_)) => self.reply_job_status(request_id, pending.request.job_id()),
+        }
+    }
+
+    /// Decides on a submission whose job is surely not stored yet.
+    fn admit_unknown_job(&self, spec: &JobSpec) -> Admission {
+        let Some(catalog) = self.catalog.get() else {
+            return Admission::Undecided;
+        };
+        match self.check_admission(spec, catalog) {
+            Ok(()) => Admission::Accepted,
+            Err(AdmissionError::Infeasible(reason)) => Admission::Rejected {
+                status: 422,
+                reason,
+            },
+            Err(AdmissionError::TooLarge) => Admission::Rejected {
+                status: 400,
+                reason: "too large".into(),
+            },
+        }
+    }
+}
+
+/// The decision on a submission after its barrier.
+enum Admission {
+    Accepted,
+    Rejected {
+        status: u16,
+        reason: String,
+    },
+    /// The catalogue is not known yet.
+    Undecided,
+}
--- a/crates/control/src/node/routes.rs
+++ b/crates/control/src/node/routes.rs
@@ -1,91 +1,124 @@
-//! Routes HTTP requests to what answers them, and reports the node's health.
-use super::*;
-use stonegw_constants::{RETRY_AFTER_STORE_FAILURE_S, STORE_UNREACHABLE_MS};
+//! Routes HTTP requests to their handlers, and reports the node's health.
+use super::pending_request::UserRequest;
+use super::Node;
+use serde::Serialize;
+use stonegw_constants::RETRY_AFTER_STORE_FAILURE_S;
+use stonegw_wire::http::Request;
+use stonegw_wire::msg::{is_job_id, JobSpec};
 
+/// The body of a successful health check.
 #[derive(Serialize)]
 struct Health {
     ready: bool,
 }
 
-impl Node {
-    /// 200 only when the node can take requests. While the state service is away from every
-    /// node, taking all of them out would only delay the return.
-    pub(super) fn is_ready(&self) -> bool {
-        if self.replica_sync != ReplicaSync::Live || self.catalog.is_none() {
-            return false;
+/// What a path stands for.
+enum Route<'a> {
+    Health,
+    Submit,
+    Poll { job_id: &'a str },
+    Cancel { job_id: &'a str },
+    Heartbeat,
+}
+
+impl Route<'_> {
+    fn parse(path: &str) -> Option<Route<'_>> {
+        let path = path.split('?').next().unwrap_or("");
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match segments.as_slice() {
+            ["healthz"] => Some(Route::Health),
+            ["submissions"] => Some(Route::Submit),
+            ["submissions", job_id] => Some(Route::Poll { job_id }),
+            ["submissions", job_id, "cancel"] => Some(Route::Cancel { job_id }),
+            ["agent", "beat"] => Some(Route::Heartbeat),
+            _ => None,
         }
-        let now = self.now.monotonic_ms;
-        let others = self
-            .peers
-            .iter()
-            .any(|p| p.is_reachable(now) && p.is_store_reachable);
-        let cut_off = !self.peers.is_empty() && !self.is_any_peer_reachable();
-        !(self.is_store_unavailable() && (others || cut_off))
     }
 
-    /// The state service has not answered for some time.
-    pub(super) fn is_store_unavailable(&self) -> bool {
-        self.store_failing_since.is_some()
-            && self
-                .now
-                .monotonic_ms
-                .saturating_sub(self.last_store_success_at)
-                > STORE_UNREACHABLE_MS
+    /// The one method that the path takes.
+    fn method(&self) -> &'static str {
+        match self {
+            Route::Health | Route::Poll { .. } => "GET",
+            Route::Submit | Route::Cancel { .. } | Route::Heartbeat => "POST",
+        }
     }
+}
 
-    /// Takes one HTTP request.
-    pub(super) fn handle_request(&mut self, id: u64, request: Request) {
-        let path = request.path.split('?').next().unwrap_or("");
-        let method = request.method.as_str();
-        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let (known, asks) = match parts.as_slice() {
-            ["healthz"] => (method == "GET", None),
-            ["submissions"] => (
-                method == "POST",
-                Some(match JobSpec::parse(&request.body) {
-                    Ok(spec) => Ok(UserRequest::Submit(Box::new(spec))),
-                    Err(why) => Err((400, why)),
-                }),
-            ),
-            ["submissions", job] => (
-                method == "GET",
-                Some(parse_job_request(job, UserRequest::Poll)),
-            ),
-            ["submissions", job, "cancel"] => (
-                method == "POST",
-                Some(parse_job_request(job, UserRequest::Cancel)),
-            ),
-            ["agent", "beat"] => {
-                if method == "POST" {
-                    return self.handle_heartbeat(id, request.body);
-                }
-                (false, None)
-            }
-            _ => return self.outbox.reply_error(id, 404, None, "no such path"),
+impl Node {
+    /// Handles one HTTP request.
+    pub(super) fn handle_request(&mut self, request_id: u64, request: Request) {
+        let Some(route) = Route::parse(&request.path) else {
+            return self
+                .outbox
+                .reply_error(request_id, 404, None, "no such path");
         };
-        if !known {
-            return self.outbox.reply_error(id, 405, None, "method not allowed");
+        if request.method != route.method() {
+            return self
+                .outbox
+                .reply_error(request_id, 405, None, "method not allowed");
         }
-        match asks {
-            None if self.is_ready() => self.outbox.reply(id, 200, None, &Health { ready: true }),
-            None => {
-                self.outbox
-                    .reply_error(id, 503, Some(RETRY_AFTER_STORE_FAILURE_S), "not ready")
+        match route {
+            Route::Health => self.handle_health_check(request_id),
+            Route::Submit => match JobSpec::parse(&request.body) {
+                Ok(spec) => {
+                    let submission = UserRequest::Submit(Box::new(spec));
+                    self.handle_user_request(request_id, submission);
+                }
+                Err(error) => {
+                    self.outbox
+                        .reply_error(request_id, 400, None, &error.to_string());
+                }
+            },
+            Route::Poll { job_id } => {
+                self.handle_job_request(request_id, job_id, UserRequest::Poll);
+            }
+            Route::Cancel { job_id } => {
+                self.handle_job_request(request_id, job_id, UserRequest::Cancel);
             }
-            Some(Err((status, why))) => self.outbox.reply_error(id, status, None, &why),
-            Some(Ok(ask)) => self.handle_user_request(id, ask),
+            Route::Heartbeat => self.handle_heartbeat(request_id, request.body),
+        }
+    }
+
+    fn handle_job_request(
+        &mut self,
+        request_id: u64,
+        job_id: &str,
+        request: fn(String) -> UserRequest,
+    ) {
+        if is_job_id(job_id) {
+            self.handle_user_request(request_id, request(job_id.to_owned()));
+        } else {
+            self.outbox
+                .reply_error(request_id, 404, None, "no such job");
+        }
+    }
+
+    fn handle_health_check(&mut self, request_id: u64) {
+        if self.is_ready() {
+            let health = Health { ready: true };
+            self.outbox.reply(request_id, 200, None, &health);
+        } else {
+            let retry_after_s = Some(RETRY_AFTER_STORE_FAILURE_S);
+            self.outbox
+                .reply_error(request_id, 503, retry_after_s, "not ready");
         }
     }
-}
 
-/// What is asked of the job with this id, or the error for a malformed one.
-fn parse_job_request(
-    job: &str,
-    ask: fn(String) -> UserRequest,
-) -> Result<UserRequest, (u16, String)> {
-    if stonegw_wire::msg::is_job_id(job) {
-        Ok(ask(job.to_owned()))
-    } else {
-        Err((404, "no such job".into()))
+    /// Whether the node can handle requests. While the store is unavailable to every node, taking
+    /// all of them out of service would only delay the recovery.
+    fn is_ready(&self) -> bool {
+        if !self.replica_sync.is_live() || self.catalog.get().is_none() {
+            return false;
+        }
+        let now = self.now.monotonic_ms;
+        let is_fault_ours =
+            self.peers.is_any_reachable_with_store(now) || self.peers.are_all_unreachable(now);
+        !(self.is_store_unavailable() && is_fault_ours)
+    }
+
+    /// The store has not answered this node for some time.
+    pub(super) fn is_store_unavailable(&self) -> bool {
+        self.store_availability
+            .is_unavailable(self.now.monotonic_ms)
     }
 }
--- /dev/null
+++ b/crates/control/src/node/store_relay.rs
@@ -0,0 +1,239 @@
+//! Passes heartbeats to the leader through the key-value store, where no link to it works.
+//!
+//! Records are written to a fixed number of slots in turn, each with as many heartbeats as fit. The
+//! leader reads them with its replica, and tells the newer of a worker's heartbeats by its
+//! incarnation and sequence number.
+use super::calls::StoreCall;
+use super::relay_transaction::{AddOutcome, RelayTransaction, RelayTransactionBuilder};
+use super::Node;
+use crate::api::{CallResult, Millis};
+use crate::settings::Settings;
+use crate::store_limits::TransactionSize;
+use std::collections::BTreeMap;
+use stonegw_constants::{
+    MIN_RELAYED_HEARTBEAT_SLOTS, RELAYED_HEARTBEATS_INTERVAL_MS, RELAYED_HEARTBEAT_REPEAT_MS,
+    RELAYED_HEARTBEAT_SLOTS_PER_WRITE,
+};
+use stonegw_wire::msg::{Heartbeat, Txn};
+
+/// The latest heartbeat of a worker that is served without the leader.
+struct RelayedHeartbeat {
+    heartbeat: Heartbeat,
+    /// It says something that the store doesn't have yet.
+    has_news: bool,
+    /// When it was last written; 0: never.
+    written_at: Millis,
+}
+
+impl RelayedHeartbeat {
+    fn new(heartbeat: Heartbeat) -> RelayedHeartbeat {
+        RelayedHeartbeat {
+            heartbeat,
+            has_news: true,
+            written_at: 0,
+        }
+    }
+
+    /// Replaces the heartbeat by a newer one. A late copy of an older one is ignored.
+    fn update(&mut self, newer: Heartbeat) {
+        let known = &self.heartbeat;
+        if (newer.incarnation, newer.sequence) <= (known.incarnation, known.sequence) {
+            return;
+        }
+        self.has_news |= known.tasks != newer.tasks || known.incarnation != newer.incarnation;
+        self.heartbeat = newer;
+    }
+
+    fn is_due(&self, now: Millis) -> bool {
+        self.has_news || now >= self.written_at + RELAYED_HEARTBEAT_REPEAT_MS
+    }
+
+    fn mark_written(&mut self, now: Millis) {
+        self.has_news = false;
+        self.written_at = now;
+    }
+}
+
+/// The heartbeats that this node passes to the leader through the store, by machine.
+#[derive(Default)]
+pub(super) struct StoreRelay {
+    heartbeats: BTreeMap<String, RelayedHeartbeat>,
+    next_write_at: Millis,
+    /// The slot that was written last.
+    last_slot: usize,
+}
+
+impl StoreRelay {
+    /// Adds a worker's heartbeat, or replaces its earlier one.
+    pub(super) fn record(&mut self, heartbeat: Heartbeat) {
+        let known = self
+            .heartbeats
+            .entry(heartbeat.machine_id.clone())
+            .or_insert_with(|| RelayedHeartbeat::new(heartbeat.clone()));
+        known.update(heartbeat);
+    }
+
+    /// Forgets all heartbeats: after a pause they are older than what the workers sent others.
+    pub(super) fn clear(&mut self) {
+        self.heartbeats.clear();
+    }
+
+    #[cfg(test)]
+    pub(super) fn is_empty(&self) -> bool {
+        self.heartbeats.is_empty()
+    }
+
+    fn is_write_due(&self, now: Millis) -> bool {
+        !self.heartbeats.is_empty() && now >= self.next_write_at
+    }
+
+    /// Machines whose heartbeats are to be written, the one that has waited longest first.
+    fn due_machines(&self, now: Millis) -> Vec<String> {
+        let mut due: Vec<(Millis, &String)> = self
+            .heartbeats
+            .iter()
+            .filter(|(_, known)| known.is_due(now))
+            .map(|(machine, known)| (known.written_at, machine))
+            .collect();
+        due.sort();
+        due.into_iter()
+            .map(|(_, machine)| machine.clone())
+            .collect()
+    }
+
+    /// Puts as many of these machines' heartbeats into a transaction as fit.
+    fn fill(
+        &mut self,
+        machines: Vec<String>,
+        mut builder: RelayTransactionBuilder,
+        now: Millis,
+    ) -> RelayTransaction {
+        for machine in machines {
+            let Some(known) = self.heartbeats.get_mut(&machine) else {
+                continue;
+            };
+            match builder.add(&known.heartbeat) {
+                AddOutcome::Added => known.mark_written(now),
+                AddOutcome::TooLarge => {}
+                AddOutcome::TransactionFull => break,
+            }
+        }
+        builder.finish()
+    }
+
+    /// The store rejected a transaction with the heartbeats of these machines.
+    fn mark_unwritten(&mut self, machines: &[String]) {
+        for machine in machines {
+            if let Some(known) = self.heartbeats.get_mut(machine) {
+                known.has_news = true;
+            }
+        }
+    }
+}
+
+impl Node {
+    /// A heartbeat that can't be relayed, from a worker that may be partitioned from the leader
+    /// together with us. Its lease is renewed under the leader's term, tasks of cancelled jobs are
+    /// stopped, and the heartbeat goes on through the store.
+    pub(super) fn handle_heartbeat_via_store(
+        &mut self,
+        request_id: u64,
+        heartbeat: Heartbeat,
+        leader_node: String,
+    ) {
+        let now = self.now.monotonic_ms;
+        let peers = self.settings.peers.len();
+        if self
+            .leader_probes
+            .try_start(&heartbeat.machine_id, now, peers)
+        {
+            return self.redirect_worker(request_id, Some(leader_node));
+        }
+        // Only while our replica is fresh enough to end in time what is cancelled elsewhere.
+        let term = self.replica.term().unwrap_or(0);
+        if !self.watermark_current() || heartbeat.fencing_token > term {
+            return self.reply_partitioned(request_id);
+        }
+        self.renew_lease_without_leader(request_id, &heartbeat, term);
+        self.store_relay.record(heartbeat);
+    }
+
+    /// Writes the heartbeats that are due, as many as the budget allows.
+    pub(super) fn advance_store_relay(&mut self) {
+        let now = self.now.monotonic_ms;
+        if !self.store_relay.is_write_due(now) || !self.replica_sync.is_live() {
+            return;
+        }
+        self.store_relay.next_write_at = now + RELAYED_HEARTBEATS_INTERVAL_MS;
+        let leader_probes = &self.leader_probes;
+        self.store_relay
+            .heartbeats
+            .retain(|machine, _| leader_probes.is_served_here(machine));
+        let due = self.store_relay.due_machines(now);
+        let slot_count = slot_count(&self.settings);
+        // No slot may be written over in the transaction that wrote it, nor in the next one.
+        let max_records = (self.write_budget.available(now).max(0.0) as usize)
+            .min(self.store_limits.max_transaction_writes())
+            .min(slot_count / RELAYED_HEARTBEAT_SLOTS_PER_WRITE);
+        if due.is_empty() || max_records == 0 || !self.read_budget.try_take(now, 1.0) {
+            return;
+        }
+        let builder = RelayTransactionBuilder::new(
+            &self.settings.node_name,
+            self.store_relay.last_slot,
+            slot_count,
+            max_records,
+            self.store_limits.max_value_bytes(),
+        );
+        let transaction = self.store_relay.fill(due, builder, now);
+        self.store_relay.last_slot = transaction.last_slot;
+        self.send_relay_transaction(transaction);
+    }
+
+    fn send_relay_transaction(&mut self, transaction: RelayTransaction) {
+        if transaction.writes.is_empty() {
+            return;
+        }
+        let now = self.now.monotonic_ms;
+        self.write_budget
+            .take_unconditionally(now, transaction.writes.len() as f64);
+        let call = StoreCall::RelayHeartbeats {
+            machines: transaction.machines,
+            size: transaction.size,
+        };
+        let txn = Txn {
+            conditions: vec![],
+            writes: transaction.writes,
+        };
+        self.send_transaction(call, &txn);
+    }
+
+    /// Heartbeats that the store rejected are written again, at once or in smaller transactions.
+    pub(super) fn handle_store_relay_result(
+        &mut self,
+        machines: Vec<String>,
+        size: TransactionSize,
+        result: CallResult,
+    ) {
+        match result {
+            Ok((200, _)) => return self.store_limits.record_accepted(),
+            Ok((429, _)) => self.store_limits.record_rate_rejected(),
+            Ok((400, _)) => {
+                self.store_limits.record_size_rejected(size);
+            }
+            // They may have been written; each is repeated after a while anyway.
+            _ => return,
+        }
+        self.store_relay.mark_unwritten(&machines);
+    }
+}
+
+/// How many records this node writes in turn.
+fn slot_count(settings: &Settings) -> usize {
+    MIN_RELAYED_HEARTBEAT_SLOTS
+        .max(settings.max_transaction_writes * RELAYED_HEARTBEAT_SLOTS_PER_WRITE)
+}
+
+#[cfg(test)]
+#[path = "store_relay_tests.rs"]
+mod tests;
--- a/crates/control/src/node/user_requests_tests.rs
+++ b/crates/control/src/node/user_requests_tests.rs
@@ -1,13 +1,17 @@
 use super::*;
-use crate::node::relay::tests::settings;
+use crate::api::{Action, Event, Now};
+use crate::node::fixture_tests::settings;
+use crate::records::{JobRecord, ReplicatedRecord};
 use stonegw_constants::READ_BARRIER_INTERVAL_MS;
+use stonegw_wire::http::Request;
+use stonegw_wire::msg::{encode, WatchResponse};
 
 const POLL_COUNT: u64 = 2_000;
 
-/// A node whose copy of the jobs is live and holds one job.
+/// A node whose replica is live and holds one job.
 fn synced_node() -> Node {
     let mut node = Node::new(settings(60.0, 8), 1);
-    node.replica_sync = ReplicaSync::Live;
+    node.replica_sync.mark_live();
     node.replica.revision = 5;
     let record = JobRecord {
         tasks: 1,
@@ -20,7 +24,7 @@
     node
 }
 
-fn poll_event(id: u64) -> Event {
+fn poll_event(request_id: u64) -> Event {
     let request = Request {
         method: "GET".into(),
         path: "/submissions/run-1".into(),
@@ -28,26 +32,22 @@
         body: vec![],
     };
     Event::Request {
-        request_id: id,
+        request_id,
         request,
     }
 }
 
 /// Calls that read the changes without waiting for any.
 fn read_barrier_calls(actions: &[Action]) -> Vec<u64> {
-    let read = |action: &Action| match action {
-        Action::Call {
-            call_id: call,
-            path,
-            ..
-        } if path.ends_with("holdMs=0") => Some(*call),
+    let barrier = |action: &Action| match action {
+        Action::Call { call_id, path, .. } if path.ends_with("holdMs=0") => Some(*call_id),
         _ => None,
     };
-    actions.iter().filter_map(read).collect()
+    actions.iter().filter_map(barrier).collect()
 }
 
-/// The work of a storm: questions that wait together share one read of the state service, and those that
-/// come while it is under way share the next, a few a second at most.
+/// A storm of polls: those that wait together share one read of the store, and those that come while it is
+/// in flight share the next, a few a second at most.
 #[test]
 fn concurrent_polls_share_one_read_barrier() {
     let mut node = synced_node();
@@ -56,23 +56,22 @@
         wall_ms: ms,
     };
     let actions = node.handle(now(1_000), (0..POLL_COUNT).map(poll_event));
-    let read = read_barrier_calls(&actions);
-    assert_eq!(read.len(), 1);
+    let barriers = read_barrier_calls(&actions);
+    assert_eq!(barriers.len(), 1);
     let more = (POLL_COUNT..2 * POLL_COUNT).map(poll_event);
     assert_eq!(read_barrier_calls(&node.handle(now(1_010), more)).len(), 0);
     let changes: WatchResponse<ReplicatedRecord> = WatchResponse {
         revision: 5,
         events: vec![],
     };
-    let result = Ok((200, encode(&changes)));
-    let answered = Event::CallDone {
-        call_id: read[0],
-        result,
+    let response = Event::CallDone {
+        call_id: barriers[0],
+        result: Ok((200, encode(&changes))),
     };
-    let actions = node.handle(now(1_020), [answered]);
+    let actions = node.handle(now(1_020), [response]);
     let replies = actions
         .iter()
-        .filter(|a| matches!(a, Action::Reply { status: 200, .. }));
+        .filter(|action| matches!(action, Action::Reply { status: 200, .. }));
     assert_eq!(
         replies.count() as u64,
         POLL_COUNT,
