--- a/crates/control/src/node/admission.rs
+++ b/crates/control/src/node/admission.rs
@@ -1,5 +1,5 @@
 //! Decides whether a submitted job is accepted.
-use super::feasibility::check_feasibility;
+use super::feasibility::{check_feasibility, FeasibilityError};
 use super::Node;
 use crate::records::JobRecord;
 use stonegw_constants::{JOB_WRITE_OVERHEAD_BYTES, MAX_TXN_BYTES, TXN_MARGIN_BYTES};
@@ -8,7 +8,7 @@
 /// Why a submission is rejected.
 pub(super) enum AdmissionError {
     /// The job can never run (422).
-    Infeasible(String),
+    Infeasible(FeasibilityError),
     /// Its record is larger than a value may be (400).
     TooLarge,
 }
--- a/crates/control/src/node/call_results.rs
+++ b/crates/control/src/node/call_results.rs
@@ -10,7 +10,7 @@
         match self.calls_in_flight.remove(&call_id) {
             None => {}
             Some(NodeCall::Leader(call)) => self.handle_leader_call_result(call, result),
-            Some(NodeCall::FetchCatalog) => self.handle_catalog(result),
+            Some(NodeCall::FetchCatalog) => self.handle_catalog_result(result),
             Some(NodeCall::Store(call)) => self.handle_store_call_result(call, result),
         }
     }
@@ -38,11 +38,11 @@
             StoreCall::RelayHeartbeats { machines, size } => {
                 self.handle_store_relay_result(machines, size, result);
             }
-            StoreCall::GrantLease => self.handle_lease_granted(result),
+            StoreCall::GrantLease => self.handle_lease_result(result),
             StoreCall::Campaign { lease } => self.handle_campaign_result(lease, result),
             StoreCall::RevokeLease => {}
-            StoreCall::ReadVersionRecords => self.handle_version_records(result),
-            StoreCall::StoreVersionRecord => self.handle_version_record_stored(result),
+            StoreCall::ReadVersionRecords => self.handle_version_scan_result(result),
+            StoreCall::StoreVersionRecord => self.handle_version_write_result(result),
         }
     }
 
--- a/crates/control/src/node/calls.rs
+++ b/crates/control/src/node/calls.rs
@@ -34,7 +34,7 @@
         requests: Vec<PendingRequest>,
         size: TransactionSize,
     },
-    /// Stores heartbeats of these machines for the leader to read.
+    /// Stores heartbeats of these machines, which the leader reads.
     RelayHeartbeats {
         machines: Vec<String>,
         size: TransactionSize,
--- a/crates/control/src/node/catalog.rs
+++ b/crates/control/src/node/catalog.rs
@@ -47,7 +47,8 @@
         self.calls_in_flight.insert(call_id, NodeCall::FetchCatalog);
     }
 
-    pub(super) fn handle_catalog(&mut self, result: CallResult) {
+    /// Handles the response to the fetch.
+    pub(super) fn handle_catalog_result(&mut self, result: CallResult) {
         self.catalog = match decode_success(result) {
             Ok(catalog) => CatalogCache::Known(catalog),
             Err(error) => {
--- a/crates/control/src/node/election.rs
+++ b/crates/control/src/node/election.rs
@@ -174,7 +174,8 @@
         }
     }
 
-    pub(super) fn handle_lease_granted(&mut self, result: CallResult) {
+    /// Handles the response to the request of a lease: campaigns under it.
+    pub(super) fn handle_lease_result(&mut self, result: CallResult) {
         let backoff_ms = match decode_success::<LeaseResponse>(result) {
             Ok(response) => return self.campaign(response.lease_id),
             Err(ResponseError::Failed(_)) => STORE_RETRY_BACKOFF_MS,
@@ -216,6 +217,7 @@
         }
     }
 
+    /// Handles the response to the transaction that creates the leader key.
     pub(super) fn handle_campaign_result(&mut self, lease: u64, result: CallResult) {
         let now = self.now.monotonic_ms;
         match result {
--- a/crates/control/src/node/feasibility.rs
+++ b/crates/control/src/node/feasibility.rs
@@ -1,23 +1,51 @@
 //! Decides whether a job can ever run: a machine type that fits its tasks, and its team's limit.
 use crate::settings::Settings;
+use std::fmt;
 use stonegw_constants::RESOURCE_EPSILON;
 use stonegw_wire::msg::{Catalog, JobKind, JobSpec, MachineType};
 
-/// Whether a job can ever run; the error is the reason in words, for a response with status 422.
+/// Why a job can never run; in words, as the body of a response with status 422 has it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum FeasibilityError {
+    /// The settings have no team of this name.
+    UnknownTeam(String),
+    /// No machine type that the job allows is large enough for one of its tasks.
+    FitsNoMachineType,
+    /// What has to run at the same time is above the team's limit.
+    AboveTeamLimit,
+}
+
+impl fmt::Display for FeasibilityError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            FeasibilityError::UnknownTeam(team) => write!(formatter, "unknown team {team}"),
+            FeasibilityError::FitsNoMachineType => {
+                formatter.write_str("a task fits no allowed machine type")
+            }
+            FeasibilityError::AboveTeamLimit => {
+                formatter.write_str("needs more than the team's limit")
+            }
+        }
+    }
+}
+
+impl std::error::Error for FeasibilityError {}
+
+/// Whether a job can ever run.
 pub fn check_feasibility(
     spec: &JobSpec,
     settings: &Settings,
     catalog: &Catalog,
-) -> Result<(), String> {
+) -> Result<(), FeasibilityError> {
     let Some(team) = settings.team(&spec.team) else {
-        return Err(format!("unknown team {}", spec.team));
+        return Err(FeasibilityError::UnknownTeam(spec.team.clone()));
     };
     let fits_a_type = catalog
         .machine_types
         .iter()
         .any(|machine_type| can_run_task(machine_type, spec));
     if !fits_a_type {
-        return Err("a task fits no allowed machine type".into());
+        return Err(FeasibilityError::FitsNoMachineType);
     }
     let concurrent_tasks = match spec.kind {
         JobKind::Array => 1.0,
@@ -27,7 +55,7 @@
     if spec.cpus * concurrent_tasks > team.limit_cpus + RESOURCE_EPSILON
         || spec.gpus * concurrent_tasks > team.limit_gpus + RESOURCE_EPSILON
     {
-        return Err("needs more than the team's limit".into());
+        return Err(FeasibilityError::AboveTeamLimit);
     }
     Ok(())
 }
--- a/crates/control/src/node/feature_gate.rs
+++ b/crates/control/src/node/feature_gate.rs
@@ -262,7 +262,8 @@
         self.feature_gate.mark_write_in_flight();
     }
 
-    pub(super) fn handle_version_records(&mut self, result: CallResult) {
+    /// Handles a page of the version records.
+    pub(super) fn handle_version_scan_result(&mut self, result: CallResult) {
         let next_scan_at = self.next_version_scan_at();
         match decode_success::<ListPage<StoredVersionRecord>>(result) {
             Ok(page) => self.feature_gate.apply_page(page, next_scan_at),
@@ -273,7 +274,8 @@
         }
     }
 
-    pub(super) fn handle_version_record_stored(&mut self, result: CallResult) {
+    /// Handles the response to the transaction that stores our own record.
+    pub(super) fn handle_version_write_result(&mut self, result: CallResult) {
         let next_scan_at = match result {
             Ok((200, _)) => self.now.monotonic_ms,
             other => {
--- a/crates/control/src/node/heartbeats.rs
+++ b/crates/control/src/node/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Workers' heartbeats at a node: handled by its own leader, relayed to the leader of another node,
 //! or answered without the leader.
+use super::isolation::IsolationState;
 use super::Node;
 use crate::api::{Action, Link, Millis};
 use stonegw_constants::{
@@ -35,8 +36,12 @@
             return self.reply_retry_later(request_id, "no leader");
         };
         let leader_node = leader.node.clone();
-        let peer = self.settings.peers.iter().position(|p| *p == leader_node);
-        match peer {
+        let leader_peer = self
+            .settings
+            .peers
+            .iter()
+            .position(|peer| *peer == leader_node);
+        match leader_peer {
             Some(peer) if self.peers.is_reachable(peer, self.now.monotonic_ms) => {
                 self.relay_heartbeat(request_id, heartbeat, body, peer);
             }
@@ -114,15 +119,16 @@
     fn handle_heartbeat_isolated(&mut self, request_id: u64, heartbeat: Heartbeat) {
         let now = self.now.monotonic_ms;
         let peers = self.settings.peers.len();
-        let is_confined =
-            self.isolation
-                .record_isolated_heartbeat(&heartbeat.machine_id, now, peers);
+        let isolation = self
+            .isolation
+            .record_isolated_heartbeat(&heartbeat.machine_id, now, peers);
         let term = match &self.leader {
             Some(leader) => leader.term,
             None => self.replica.term().unwrap_or(0),
         };
         self.observe_term(heartbeat.fencing_token);
-        if is_confined && self.watermark_current() && term > 0 && self.higher_term <= term {
+        let may_renew = self.watermark_current() && term > 0 && self.higher_term <= term;
+        if isolation == IsolationState::Confined && may_renew {
             return self.renew_lease_without_leader(request_id, &heartbeat, term);
         }
         self.isolation.release(heartbeat.machine_id, now);
--- a/crates/control/src/node/leader_probes.rs
+++ b/crates/control/src/node/leader_probes.rs
@@ -5,10 +5,10 @@
 //! a *probe* is a worker redirected to the leader. Its lease comes first, so only a worker that has
 //! been served here for [`LEADER_PROBE_DELAY_MS`] is sent, and they leave in batches.
 //!
-//! | state | left when |
+//! | state | goes to |
 //! | --- | --- |
-//! | open: a part of the workers may leave together | a probe returns, which proves that the leader can't be reached |
-//! | probe failed: only [`MIN_LEADER_PROBES`] at a time, after a wait | a probe stays away for as long as a vain try takes |
+//! | `Open`: a part of the workers may leave together | `Blocked`, when a probe returns: it did not find the leader |
+//! | `Blocked`: after a wait, only [`MIN_LEADER_PROBES`] at a time | `Open`, when a probe has stayed away for longer than vain tries take |
 use crate::api::Millis;
 use crate::pause::Pause;
 use std::collections::HashMap;
@@ -17,6 +17,14 @@
     LEADER_PROBE_MARGIN_MS, MIN_LEADER_PROBES, WORKER_ATTEMPT_TIMEOUT_MS,
 };
 
+/// Whether workers reach the leader, as the last probe with an outcome shows; see the module.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum LeaderPath {
+    #[default]
+    Open,
+    Blocked,
+}
+
 /// Which workers are served without the leader, and which of them are probing for it.
 #[derive(Default)]
 pub(super) struct LeaderProbes {
@@ -24,8 +32,7 @@
     served_since: HashMap<String, Millis>,
     /// Machines that are away to probe, and since when.
     probing: HashMap<String, Millis>,
-    /// The last probe with an outcome returned.
-    probe_failed: bool,
+    path: LeaderPath,
     next_probe_at: Millis,
 }
 
@@ -64,7 +71,7 @@
     /// A probe that returns did not find the leader.
     fn record_return(&mut self, machine: &str, now: Millis) {
         if self.probing.remove(machine).is_some() {
-            self.probe_failed = true;
+            self.path = LeaderPath::Blocked;
             self.next_probe_at = now + LEADER_PROBE_DELAY_MS;
         }
     }
@@ -74,19 +81,19 @@
         let vain_tries_ms = peers as u64 * WORKER_ATTEMPT_TIMEOUT_MS + LEADER_PROBE_MARGIN_MS;
         let has_arrived = |left_at: &Millis| now >= left_at + vain_tries_ms;
         if self.probing.values().any(has_arrived) {
-            self.probe_failed = false;
+            self.path = LeaderPath::Open;
             self.probing.retain(|_, left_at| !has_arrived(left_at));
         }
     }
 
     /// How many may be away together. The machine that asks counts only if it was served before.
     fn max_batch(&self) -> usize {
-        let part = if self.probe_failed {
-            0
-        } else {
-            self.served_since.len() / LEADER_PROBE_BATCH_DIVISOR
-        };
-        part.max(MIN_LEADER_PROBES)
+        match self.path {
+            LeaderPath::Open => {
+                (self.served_since.len() / LEADER_PROBE_BATCH_DIVISOR).max(MIN_LEADER_PROBES)
+            }
+            LeaderPath::Blocked => MIN_LEADER_PROBES,
+        }
     }
 
     fn count_left_lately(&self, now: Millis) -> usize {
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -71,7 +71,7 @@
 use store_relay::StoreRelay;
 use user_commits::UserCommits;
 
-pub use feasibility::check_feasibility;
+pub use feasibility::{check_feasibility, FeasibilityError};
 pub use role::Role;
 
 /// One controller: its replica of the jobs, its peers, its requests and, while it leads, the leader.
--- a/crates/control/src/node/read_barriers.rs
+++ b/crates/control/src/node/read_barriers.rs
@@ -114,6 +114,7 @@
                 .has_been_idle_for(REPLICA_CONFIRM_INTERVAL_MS, self.now.monotonic_ms)
     }
 
+    /// Handles the response to a barrier: the requests that waited for it go on.
     pub(super) fn handle_read_barrier_result(
         &mut self,
         requests: Vec<PendingRequest>,
@@ -170,9 +171,9 @@
         };
         match self.check_admission(spec, catalog) {
             Ok(()) => Admission::Accepted,
-            Err(AdmissionError::Infeasible(reason)) => Admission::Rejected {
+            Err(AdmissionError::Infeasible(error)) => Admission::Rejected {
                 status: 422,
-                reason,
+                reason: error.to_string(),
             },
             Err(AdmissionError::TooLarge) => Admission::Rejected {
                 status: 400,
--- a/crates/control/src/node/replica_sync.rs
+++ b/crates/control/src/node/replica_sync.rs
@@ -71,7 +71,12 @@
 
     #[cfg(test)]
     pub(super) fn mark_live(&mut self) {
-        self.state = SyncState::Live;
+        self.set_state(SyncState::Live);
+    }
+
+    /// The one place where the state changes.
+    fn set_state(&mut self, next: SyncState) {
+        self.state = next;
     }
 
     fn is_watch_due(&self, now: Millis) -> bool {
@@ -119,12 +124,14 @@
 
     /// Begins a new listing of the replica.
     pub(super) fn relist(&mut self) {
-        self.replica_sync.state = SyncState::Listing(Listing {
+        let listing = Listing {
             retry_at: self.now.monotonic_ms + STORE_RETRY_BACKOFF_MS,
             ..Listing::default()
-        });
+        };
+        self.replica_sync.set_state(SyncState::Listing(listing));
     }
 
+    /// Handles a page of the listing.
     pub(super) fn handle_list_page(&mut self, result: CallResult) {
         let now = self.now.monotonic_ms;
         let SyncState::Listing(listing) = &mut self.replica_sync.state else {
@@ -152,11 +159,12 @@
             self.replica.clear_leader(page.revision);
         }
         self.replica.revision = self.replica.revision.max(first_revision);
-        self.replica_sync.state = SyncState::Live;
+        self.replica_sync.set_state(SyncState::Live);
         let jobs = self.replica.jobs.len();
         log::info!("replica is live: {jobs} jobs at revision {first_revision}");
     }
 
+    /// Handles the response to a watch.
     pub(super) fn handle_watch_result(&mut self, result: CallResult) {
         let now = self.now.monotonic_ms;
         let next_watch_at = match self.apply_changes(result) {
--- a/crates/control/src/node/user_commits.rs
+++ b/crates/control/src/node/user_commits.rs
@@ -124,6 +124,7 @@
         self.send_transaction(call, &batch.txn);
     }
 
+    /// Handles the response to a transaction with these requests.
     pub(super) fn handle_user_commit_result(
         &mut self,
         requests: Vec<PendingRequest>,
--- a/crates/control/src/node/user_requests.rs
+++ b/crates/control/src/node/user_requests.rs
@@ -46,7 +46,8 @@
         let is_live = self.replica_sync.is_live();
         match admission {
             // Types and limits are the same on all nodes: none can have accepted what never runs.
-            Err(AdmissionError::Infeasible(reason)) if is_live && self.is_store_unavailable() => {
+            Err(AdmissionError::Infeasible(error)) if is_live && self.is_store_unavailable() => {
+                let reason = error.to_string();
                 self.outbox.reply_error(request_id, 422, None, &reason);
             }
             _ if !is_live || self.is_store_unavailable() => self.reply_unavailable(request_id),
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -2,7 +2,7 @@
 //! also show more time than has passed.
 //!
 //! What concerns the node's own rights counts as expired after a pause, until it is proven by an answer to
-//! what was asked after it (`Node::proven`). What it would conclude about others from elapsed time
+//! what was asked after it (`Node::has_synced_since_pause`). What it would conclude about others from elapsed time
 //! starts its wait anew: each part shifts its own times, in its `resume`.
 use crate::api::Millis;
 use stonegw_constants::PROCESS_PAUSE_THRESHOLD_MS;
