--- a/crates/net/src/event_loop/client.rs
+++ b/crates/net/src/event_loop/client.rs
@@ -98,14 +98,14 @@
             Ok(None) if outcome == ReadOutcome::Open => {}
             Ok(None) => self.close_connection(key),
             Err(HttpError::BodyTooLarge) => {
-                log::warn!("{remote_addr} responded with more than {MAX_RESPONSE_BYTES} bytes");
+                log::warn!("{remote_addr} answered with more than {MAX_RESPONSE_BYTES} bytes");
                 *call_id = None;
                 self.calls_in_progress.remove(&id);
                 self.report_call_failure(id, CallFailure::ResponseTooLarge);
                 self.close_connection(key);
             }
             Err(error) => {
-                log::warn!("{remote_addr} responded with a malformed head: {error}");
+                log::warn!("{remote_addr} answered with a malformed head: {error}");
                 self.close_connection(key);
             }
         }
