--- a/crates/control/src/scheduling/gang_lifecycle_tests.rs
+++ b/crates/control/src/scheduling/gang_lifecycle_tests.rs
@@ -17,7 +17,7 @@
     next_gang_state(7, GangState::Waiting, members, 2)
 }
 
-/// A `run` may go out only once every placement of the attempt is stored.
+/// A start command may go out only once every placement of the attempt is stored.
 #[test]
 fn an_attempt_gathers_only_when_all_its_placements_are_stored() {
     let half = [member(0, 5, Phase::Stored), member(1, 5, Phase::Unstored)];
@@ -79,8 +79,8 @@
         estimated_run_time_s: 10.0,
         ..job_spec("run-1", 3)
     };
-    let mut work = JobState::new(spec, 0);
-    work.requeue(1);
-    assert!(work.pending_tasks.is_empty());
-    assert!(work.is_gang_waiting());
+    let mut job = JobState::new(spec, 0);
+    job.requeue(1);
+    assert!(job.pending_tasks.is_empty());
+    assert!(job.is_gang_waiting());
 }
