--- a/crates/control/src/autoscaler/arrivals.rs
+++ b/crates/control/src/autoscaler/arrivals.rs
@@ -1,54 +1,137 @@
-//! What arrived and ended of late: the sizing expects more of the same.
-use super::{Autoscaler, DeadlineArrival, GangArrival};
+//! What arrived and ended recently: the sizing expects more of the same.
 use crate::api::Millis;
+use crate::pause::Pause;
+use std::collections::VecDeque;
 use stonegw_constants::{ARRIVAL_RATE_WINDOW_MS, URGENT_ARRIVAL_WINDOW_MS};
 use stonegw_wire::msg::JobSpec;
 
-impl Autoscaler {
+/// A gang that was submitted recently.
+#[derive(Clone, Debug)]
+struct GangArrival {
+    arrived_at: Millis,
+    spec: JobSpec,
+}
+
+/// A job with a deadline that was submitted recently.
+#[derive(Clone, Copy, Debug)]
+struct DeadlineArrival {
+    arrived_at: Millis,
+    /// CPU-seconds of all of its tasks.
+    cpu_seconds: f64,
+    /// How long one of its tasks runs.
+    run_s: f64,
+}
+
+/// Recent submissions and ends of jobs, by kind of demand.
+#[derive(Default)]
+pub(super) struct RecentArrivals {
+    /// When tasks of urgent services arrived.
+    urgent_arrivals: VecDeque<Millis>,
+    /// When urgent services ended.
+    urgent_departures: VecDeque<Millis>,
+    gangs: Vec<GangArrival>,
+    deadline_jobs: VecDeque<DeadlineArrival>,
+}
+
+impl RecentArrivals {
     /// An urgent service ended.
-    pub fn record_urgent_departure(&mut self, now: Millis) {
+    pub(super) fn record_urgent_departure(&mut self, now: Millis) {
         self.urgent_departures.push_back(now);
     }
 
-    /// An urgent service arrived.
-    pub fn record_urgent_arrival(&mut self, now: Millis) {
+    /// A task of an urgent service arrived.
+    pub(super) fn record_urgent_arrival(&mut self, now: Millis) {
         self.urgent_arrivals.push_back(now);
-        let old = |at: &Millis| now > at + URGENT_ARRIVAL_WINDOW_MS;
+        let is_expired = |at: &Millis| now > at + URGENT_ARRIVAL_WINDOW_MS;
         for times in [&mut self.urgent_departures, &mut self.urgent_arrivals] {
-            while times.front().is_some_and(old) {
+            while times.front().is_some_and(is_expired) {
                 times.pop_front();
             }
         }
     }
 
     /// A gang arrived.
-    pub fn record_gang_arrival(&mut self, now: Millis, spec: &JobSpec) {
-        let gangs = &mut self.gang_arrivals;
-        gangs.retain(|a| now <= a.arrived_at + URGENT_ARRIVAL_WINDOW_MS);
-        gangs.push(GangArrival {
+    pub(super) fn record_gang(&mut self, now: Millis, spec: &JobSpec) {
+        self.gangs
+            .retain(|gang| now <= gang.arrived_at + URGENT_ARRIVAL_WINDOW_MS);
+        self.gangs.push(GangArrival {
             arrived_at: now,
             spec: spec.clone(),
         });
     }
 
-    /// Work with a deadline came, so long ago.
-    pub fn record_deadline_arrival(
+    /// A job with a deadline became known, `age_ms` after its submission.
+    pub(super) fn record_deadline_job(
         &mut self,
         now: Millis,
         age_ms: u64,
         spec: &JobSpec,
         run_s: f64,
     ) {
-        let cpu_seconds = f64::from(spec.task_count) * spec.cpus * run_s;
-        let at = now.saturating_sub(age_ms);
-        self.deadline_arrivals
-            .retain(|a| now <= a.arrived_at + ARRIVAL_RATE_WINDOW_MS);
+        self.deadline_jobs
+            .retain(|job| now <= job.arrived_at + ARRIVAL_RATE_WINDOW_MS);
         if age_ms < ARRIVAL_RATE_WINDOW_MS {
-            self.deadline_arrivals.push_back(DeadlineArrival {
-                arrived_at: at,
-                cpu_seconds,
+            self.deadline_jobs.push_back(DeadlineArrival {
+                arrived_at: now.saturating_sub(age_ms),
+                cpu_seconds: f64::from(spec.task_count) * spec.cpus * run_s,
                 run_s,
             });
         }
     }
+
+    /// The process ran again after a pause: nothing arrived or ended in it as far as we know, so
+    /// that the rates leave it out.
+    pub(super) fn resume(&mut self, pause: Pause) {
+        let urgent = self
+            .urgent_arrivals
+            .iter_mut()
+            .chain(&mut self.urgent_departures);
+        let deadline_jobs = self.deadline_jobs.iter_mut().map(|job| &mut job.arrived_at);
+        let gangs = self.gangs.iter_mut().map(|gang| &mut gang.arrived_at);
+        urgent
+            .chain(deadline_jobs)
+            .chain(gangs)
+            .for_each(|at| pause.shift(at));
+    }
+
+    /// How many tasks of urgent services arrived.
+    pub(super) fn urgent_arrival_count(&self) -> usize {
+        self.urgent_arrivals.len()
+    }
+
+    /// How many more tasks of urgent services arrived than urgent services ended.
+    pub(super) fn urgent_growth(&self) -> usize {
+        self.urgent_arrivals
+            .len()
+            .saturating_sub(self.urgent_departures.len())
+    }
+
+    /// The recent gang that takes most CPUs.
+    pub(super) fn largest_gang(&self, now: Millis) -> Option<&JobSpec> {
+        let cpus = |spec: &JobSpec| f64::from(spec.task_count) * spec.cpus;
+        self.gangs
+            .iter()
+            .filter(|gang| now <= gang.arrived_at + URGENT_ARRIVAL_WINDOW_MS)
+            .map(|gang| &gang.spec)
+            .max_by(|a, b| cpus(a).total_cmp(&cpus(b)))
+    }
+
+    /// CPUs that deadline work would keep busy if it kept arriving as it did recently; only jobs
+    /// whose tasks run for less than `run_s` are counted.
+    pub(super) fn deadline_cpus_shorter_than(&self, now: Millis, run_s: f64) -> f64 {
+        let recent = || {
+            self.deadline_jobs
+                .iter()
+                .filter(|job| now <= job.arrived_at + ARRIVAL_RATE_WINDOW_MS)
+        };
+        let first_arrived_at = recent().map(|job| job.arrived_at).min().unwrap_or(now);
+        let cpu_seconds: f64 = recent()
+            .filter(|job| job.run_s < run_s)
+            .map(|job| job.cpu_seconds)
+            .sum();
+        let span_ms = now
+            .saturating_sub(first_arrived_at)
+            .clamp(ARRIVAL_RATE_WINDOW_MS / 2, ARRIVAL_RATE_WINDOW_MS);
+        cpu_seconds / (span_ms as f64 / 1e3)
+    }
 }
--- a/crates/control/src/autoscaler/capacity.rs
+++ b/crates/control/src/autoscaler/capacity.rs
@@ -1,52 +1,72 @@
-//! Room on machines as the sizing sees it, and how many tasks fit into it.
+//! Capacity of machines as the sizing counts it, and how many tasks fit into it.
+use super::offer::MachineOffer;
+use crate::cluster::Machine;
 use crate::resources::Resources;
 use stonegw_wire::msg::{JobSpec, MachineType};
 
-/// The room of one machine that is up or coming.
+/// More tasks than this are not counted on one machine.
+const MAX_SLOTS: f64 = 1e6;
+
+/// The capacity of one machine that is up or on its way.
 pub(super) struct MachineCapacity {
-    /// Seconds until it is up.
+    /// Seconds until the machine is up.
     pub(super) ready_in_s: f64,
-    pub(super) machine_type: String,
-    pub(super) zone: String,
-    pub(super) spot: bool,
+    /// What kind of machine it is.
+    pub(super) offer: MachineOffer,
+    /// What is not taken yet.
     pub(super) free: Resources,
 }
 
 impl MachineCapacity {
-    /// Room for so many tasks is spoken for.
-    pub(super) fn reserve(&mut self, spec: &JobSpec, tasks: u32) {
-        let tasks = f64::from(tasks);
+    /// A machine that is still to boot, without tasks.
+    pub(super) fn of_new_machine(machine_type: &MachineType, offer: MachineOffer) -> Self {
+        MachineCapacity {
+            ready_in_s: machine_type.boot_s,
+            offer,
+            free: Resources::of_type(machine_type),
+        }
+    }
+
+    /// Takes the capacity for at most so many tasks and returns for how many there was enough.
+    pub(super) fn reserve_up_to(&mut self, spec: &JobSpec, max_tasks: u32) -> u32 {
+        let task_count = slots_in(&self.free, spec).min(max_tasks);
+        let tasks = f64::from(task_count);
         self.free -= Resources {
             cpus: tasks * spec.cpus,
             gpus: tasks * spec.gpus,
             memory_gb: tasks * spec.memory_gb,
         };
+        task_count
     }
 
-    /// Whether a task of the job may go there.
+    /// Whether a task of the job may run there.
     pub(super) fn is_allowed(&self, spec: &JobSpec) -> bool {
-        is_placement_allowed(spec, &self.machine_type, &self.zone, self.spot)
+        allows_offer(spec, &self.offer)
     }
 
-    /// Whether a task of the job may go there and has room.
+    /// Whether a task of the job may run there and fits.
     pub(super) fn can_host(&self, spec: &JobSpec) -> bool {
         self.free.has_capacity_for(&Resources::of_task(spec)) && self.is_allowed(spec)
     }
 }
 
-/// Whether a task may go to such a machine.
-pub(super) fn is_placement_allowed(
-    spec: &JobSpec,
-    machine_type: &str,
-    zone: &str,
-    spot: bool,
-) -> bool {
-    (!spot || spec.allows_spot)
+/// Whether the job's constraints allow machines of the offer.
+pub(super) fn allows_offer(spec: &JobSpec, offer: &MachineOffer) -> bool {
+    allows(spec, &offer.machine_type, &offer.zone, offer.is_spot)
+}
+
+/// Whether the job's constraints allow the machine.
+pub(super) fn allows_machine(spec: &JobSpec, machine: &Machine) -> bool {
+    allows(spec, &machine.machine_type, &machine.zone, machine.spot)
+}
+
+fn allows(spec: &JobSpec, machine_type: &str, zone: &str, is_spot: bool) -> bool {
+    (!is_spot || spec.allows_spot)
         && spec
             .machine_types
             .as_ref()
-            .is_none_or(|types| types.iter().any(|t| t == machine_type))
-        && spec.zone.as_ref().is_none_or(|z| z == zone)
+            .is_none_or(|allowed| allowed.iter().any(|name| name == machine_type))
+        && spec.zone.as_ref().is_none_or(|allowed| allowed == zone)
 }
 
 /// How many tasks of a job an empty machine takes.
@@ -54,7 +74,8 @@
     slots_in(&Resources::of_type(machine_type), spec)
 }
 
-/// How many tasks of a job fit into that much room.
+/// How many tasks of a job fit into what is free.
 pub(super) fn slots_in(free: &Resources, spec: &JobSpec) -> u32 {
-    free.fit_ratio(&Resources::of_task(spec)).clamp(0.0, 1e6) as u32
+    free.fit_ratio(&Resources::of_task(spec))
+        .clamp(0.0, MAX_SLOTS) as u32
 }
--- a/crates/control/src/autoscaler/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -1,15 +1,24 @@
-//! Demand: the tasks that machines may be rented for, from the work at hand.
-use super::capacity::{is_placement_allowed, slots_in, MachineCapacity};
-use super::AutoscalerTurn;
-use crate::cluster::{JobState, Lifecycle, Machine};
+//! Demand: the pending tasks that machines may be provisioned for.
+use super::available_capacity::AvailableCapacity;
+use super::capacity::{allows_machine, slots_in, MachineCapacity};
+use super::view::AutoscalerView;
+use crate::cluster::{JobState, Lifecycle};
 use crate::context::LeaderContext;
+use crate::scheduling::estimates::RunTimeEstimates;
 use std::cmp::Reverse;
 use stonegw_constants::{DEADLINE_RUN_TIME_MULTIPLE, LATE_RUN_TIME_MULTIPLE};
-use stonegw_wire::msg::{JobKind, JobSpec, Priority};
+use stonegw_wire::msg::JobSpec;
 
-/// Tasks without a deadline that want room now.
+/// Tasks with a shorter estimated run time are counted as running this long, s.
+const MIN_RUN_S: f64 = 1.0;
+/// Tasks with fewer CPUs are counted as taking this many.
+const MIN_TASK_CPUS: f64 = 0.01;
+
+/// Tasks without a deadline that want capacity now.
 pub(super) struct DeadlineFreeDemand {
+    /// The job, with the zone it is to run in if one was chosen for it.
     pub(super) spec: JobSpec,
+    /// How many of its tasks.
     pub(super) tasks: usize,
 }
 
@@ -19,13 +28,15 @@
     pub(super) due_s: f64,
     /// How long one of them runs.
     pub(super) run_s: f64,
+    /// The job.
     pub(super) spec: JobSpec,
+    /// How many of its tasks.
     pub(super) tasks: usize,
-    /// Late by all that is promised, and lateness goes on to matter.
+    /// Late by all that is promised, while lateness goes on to matter.
     pub(super) is_late: bool,
 }
 
-/// All tasks that machines may be rented for.
+/// All tasks that machines may be provisioned for.
 pub(super) struct Demand {
     /// Highest priority first.
     pub(super) deadline_free: Vec<DeadlineFreeDemand>,
@@ -33,166 +44,170 @@
     pub(super) deadline_constrained: Vec<DeadlineDemand>,
 }
 
-impl AutoscalerTurn<'_> {
-    /// What the work at hand wants. `lasting`: the room that comes free in the end.
-    pub(super) fn collect_demand(
-        &mut self,
-        context: &LeaderContext,
-        rooms: &[MachineCapacity],
-        lasting: &[MachineCapacity],
+impl Demand {
+    /// What the pending work wants.
+    pub(super) fn collect(
+        view: &AutoscalerView,
+        estimates: &mut RunTimeEstimates,
+        capacity: &AvailableCapacity,
         boot_s: f64,
     ) -> Demand {
-        let mut undated = vec![];
-        let mut dated = vec![];
-        for (id, work) in &self.cluster.jobs {
-            let spec = &work.spec;
-            if spec.kind == JobKind::Service && spec.priority >= Priority::High {
-                self.autoscaler.reference_task = Some(spec.clone());
-            }
-            let Some(tasks) = self.tasks_to_provision_for(context, id, work) else {
+        let mut deadline_free = vec![];
+        let mut deadline_constrained = vec![];
+        for (id, job) in &view.cluster.jobs {
+            let Some(tasks) = startable_tasks(view, id, job) else {
                 continue;
             };
-            if tasks > 0 && self.fits_no_machine(id, spec, lasting) {
-                let spec = spec.clone();
-                undated.push(DeadlineFreeDemand { spec, tasks: 1 });
-                continue;
-            }
-            if let Some(due_s) = work.seconds_to_deadline(context.now.wall_ms) {
-                let run_s = self.estimates.mean_run_s(spec).max(1.0);
-                let target = reachable_target(context, work, due_s, run_s, boot_s);
-                dated.push(DeadlineDemand {
+            let spec = || job.spec.clone();
+            if tasks > 0 && fits_no_machine(view, id, &job.spec, &capacity.eventual) {
+                deadline_free.push(DeadlineFreeDemand {
+                    spec: spec(),
+                    tasks: 1,
+                });
+            } else if let Some(due_s) = job.seconds_to_deadline(view.context.now.wall_ms) {
+                let run_s = estimates.mean_run_s(&job.spec).max(MIN_RUN_S);
+                let target = reachable_target(view.context, job, due_s, run_s, boot_s);
+                deadline_constrained.push(DeadlineDemand {
                     due_s: target.due_s,
                     run_s,
-                    spec: spec.clone(),
+                    spec: spec(),
                     tasks,
                     is_late: target.is_late,
                 });
             } else if tasks > 0 {
-                let spec = spec.clone();
-                undated.push(DeadlineFreeDemand { spec, tasks });
+                deadline_free.push(DeadlineFreeDemand {
+                    spec: spec(),
+                    tasks,
+                });
             }
         }
-        undated.extend(self.gangs_to_provision_for(context, rooms));
-        undated.sort_by_key(|demand| Reverse(demand.spec.priority));
+        deadline_free.extend(waiting_gangs(view, &capacity.free));
+        deadline_free.sort_by_key(|demand| Reverse(demand.spec.priority));
         Demand {
-            deadline_free: undated,
-            deadline_constrained: dated,
+            deadline_free,
+            deadline_constrained,
         }
     }
+}
 
-    /// How many waiting tasks of a job its team may still start. `None`: the job wants no machine.
-    fn tasks_to_provision_for(
-        &self,
-        context: &LeaderContext,
-        id: &str,
-        work: &JobState,
-    ) -> Option<usize> {
-        let waiting = work.pending_tasks.len() + self.cluster.machines.queued_count(id);
-        if waiting == 0 || work.end_write_in_flight || work.failures.job_is_broken() {
-            return None;
-        }
-        let spec = &work.spec;
-        let Some(team) = context.settings.team(&spec.team) else {
-            return Some(waiting);
-        };
-        let used = self.cluster.machines.team_usage(&spec.team).0;
-        Some(waiting.min(((team.limit_cpus - used).max(0.0) / spec.cpus.max(0.01)) as usize))
+/// How many pending tasks of a job its team may still start. `None`: the job wants no machine.
+fn startable_tasks(view: &AutoscalerView, id: &str, job: &JobState) -> Option<usize> {
+    let waiting = job.pending_tasks.len() + view.cluster.machines.queued_count(id);
+    if waiting == 0 || job.end_write_in_flight || job.failures.job_is_broken() {
+        return None;
     }
+    let spec = &job.spec;
+    let Some(team) = view.context.settings.team(&spec.team) else {
+        return Some(waiting);
+    };
+    let used_cpus = view.cluster.machines.team_usage(&spec.team).0;
+    let free_cpus = (team.limit_cpus - used_cpus).max(0.0);
+    Some(waiting.min((free_cpus / spec.cpus.max(MIN_TASK_CPUS)) as usize))
+}
 
-    /// All the CPUs at hand are of no use to a task that no single machine will have room for.
-    fn fits_no_machine(&self, id: &str, spec: &JobSpec, lasting: &[MachineCapacity]) -> bool {
-        let ever = |room: &MachineCapacity| room.can_host(spec);
-        self.cluster.machines.present_tasks(id).next().is_none() && !lasting.iter().any(ever)
-    }
+/// Whether no single machine will ever have the capacity for a task of the job, so that all the
+/// free CPUs are of no use to it.
+fn fits_no_machine(
+    view: &AutoscalerView,
+    id: &str,
+    spec: &JobSpec,
+    eventual: &[MachineCapacity],
+) -> bool {
+    view.cluster.machines.present_tasks(id).next().is_none()
+        && !eventual.iter().any(|machine| machine.can_host(spec))
+}
 
-    /// Gangs that wait and their tasks. One that needs a single zone gets all its room in the zone
-    /// that has most of it.
-    fn gangs_to_provision_for(
-        &self,
-        context: &LeaderContext,
-        rooms: &[MachineCapacity],
-    ) -> Vec<DeadlineFreeDemand> {
-        let mut wanted = vec![];
-        for job in self.cluster.waiting_gangs(context) {
-            let Some(work) = self.cluster.jobs.get(&job) else {
-                continue;
-            };
-            if work.failures.job_is_broken() || !self.cluster.gang_within_limit(context, work) {
-                continue;
-            }
-            let mut spec = work.spec.clone();
-            if spec.requires_single_zone && spec.zone.is_none() {
-                spec.zone = self.zone_with_most_capacity(&spec, rooms);
-            }
-            let tasks = (work.spec.task_count + self.unusable_slots(work, &spec)) as usize;
-            wanted.push(DeadlineFreeDemand { spec, tasks });
+/// Waiting gangs with their tasks. One that needs a single zone gets all its capacity in the zone
+/// that has most of it.
+fn waiting_gangs(view: &AutoscalerView, free: &[MachineCapacity]) -> Vec<DeadlineFreeDemand> {
+    let mut demands = vec![];
+    for id in view.cluster.waiting_gangs(view.context) {
+        let Some(job) = view.cluster.jobs.get(&id) else {
+            continue;
+        };
+        if job.failures.job_is_broken() || !view.cluster.gang_within_limit(view.context, job) {
+            continue;
+        }
+        let mut spec = job.spec.clone();
+        if spec.requires_single_zone && spec.zone.is_none() {
+            spec.zone = zone_with_most_capacity(view, &spec, free);
         }
-        wanted
+        let tasks = (job.spec.task_count + unusable_slots(view, job, &spec)) as usize;
+        demands.push(DeadlineFreeDemand { spec, tasks });
     }
+    demands
+}
 
-    /// Free slots that the sizing counts on machines where the job failed or that don't hear us.
-    fn unusable_slots(&self, work: &JobState, spec: &JobSpec) -> u32 {
-        let useless = |m: &&Machine| work.failures.avoids(&m.id) || !m.is_trusted();
-        let machines = self
-            .cluster
-            .machines
-            .values()
-            .filter(|m| m.lifecycle == Lifecycle::Ready);
-        let machines = machines.filter(useless);
-        let suits = |m: &&Machine| is_placement_allowed(spec, &m.machine_type, &m.zone, m.spot);
-        machines
-            .filter(suits)
-            .filter_map(|m| Some(slots_in(&self.cluster.free_resources(m)?, spec)))
-            .sum()
-    }
+/// Free slots that the sizing counts although the job can't use them: those on machines where it
+/// failed or that commands don't reach.
+fn unusable_slots(view: &AutoscalerView, job: &JobState, spec: &JobSpec) -> u32 {
+    view.cluster
+        .machines
+        .values()
+        .filter(|machine| machine.lifecycle == Lifecycle::Ready)
+        .filter(|machine| job.failures.avoids(&machine.id) || !machine.is_trusted())
+        .filter(|machine| allows_machine(spec, machine))
+        .filter_map(|machine| view.cluster.free_resources(machine))
+        .map(|free| slots_in(&free, spec))
+        .sum()
+}
 
-    /// The zone with most room for the gang's tasks.
-    fn zone_with_most_capacity(&self, spec: &JobSpec, rooms: &[MachineCapacity]) -> Option<String> {
-        let zones = self
-            .cluster
-            .catalog
-            .machine_types
-            .iter()
-            .flat_map(|t| &t.zones);
-        let slots_in = |zone: &String| -> u32 {
-            rooms
-                .iter()
-                .filter(|room| room.zone == *zone && room.is_allowed(spec))
-                .map(|room| slots_in(&room.free, spec).min(spec.task_count))
-                .sum()
-        };
-        zones.max_by_key(|zone| slots_in(zone)).cloned()
-    }
+/// The zone with most capacity for the gang's tasks.
+fn zone_with_most_capacity(
+    view: &AutoscalerView,
+    spec: &JobSpec,
+    free: &[MachineCapacity],
+) -> Option<String> {
+    let slots_in_zone = |zone: &str| -> u32 {
+        free.iter()
+            .filter(|machine| machine.offer.zone == zone && machine.is_allowed(spec))
+            .map(|machine| slots_in(&machine.free, spec).min(spec.task_count))
+            .sum()
+    };
+    let zones = view
+        .cluster
+        .catalog
+        .machine_types
+        .iter()
+        .flat_map(|machine_type| &machine_type.zones);
+    zones.max_by_key(|zone| slots_in_zone(zone)).cloned()
 }
 
 /// When a job's tasks are to be finished.
 struct CompletionTarget {
     due_s: f64,
-    /// Late by all that is promised, and lateness goes on to matter.
+    /// Late by all that is promised, while lateness goes on to matter.
     is_late: bool,
 }
 
-/// The next deadline that a machine rented now would meet.
+/// The next deadline that a machine provisioned now would meet.
 ///
 /// What it would not finish in time is late either way, by its deadline and by all that is
 /// promised of its class: then few machines that work for a while are better than many for one
 /// run each.
 fn reachable_target(
     context: &LeaderContext,
-    work: &JobState,
+    job: &JobState,
     due_s: f64,
     run_s: f64,
     boot_s: f64,
 ) -> CompletionTarget {
-    let age = context.now.wall_ms.saturating_sub(work.submitted_at_ms) as f64 / 1e3;
-    let promised = context.settings.slo_deadlines(&work.spec.class, run_s);
-    let promises: Vec<f64> = promised.map(|p| p - age).collect();
-    let reachable = boot_s + run_s * DEADLINE_RUN_TIME_MULTIPLE;
-    let targets = promises.iter().copied().chain([due_s]);
-    let next = targets.filter(|d| *d >= reachable).min_by(f64::total_cmp);
+    let age_s = context.now.wall_ms.saturating_sub(job.submitted_at_ms) as f64 / 1e3;
+    let slo_targets: Vec<f64> = context
+        .settings
+        .slo_deadlines(&job.spec.class, run_s)
+        .map(|within_s| within_s - age_s)
+        .collect();
+    let reachable_s = boot_s + run_s * DEADLINE_RUN_TIME_MULTIPLE;
+    let next = slo_targets
+        .iter()
+        .copied()
+        .chain([due_s])
+        .filter(|target_s| *target_s >= reachable_s)
+        .min_by(f64::total_cmp);
     CompletionTarget {
         due_s: next.unwrap_or(boot_s + run_s * LATE_RUN_TIME_MULTIPLE),
         // Where more than the deadline is promised, lateness goes on to matter.
-        is_late: next.is_none() && !promises.is_empty(),
+        is_late: next.is_none() && !slo_targets.is_empty(),
     }
 }
--- a/crates/control/src/autoscaler/headroom.rs
+++ b/crates/control/src/autoscaler/headroom.rs
@@ -1,89 +1,105 @@
-//! Spare room for urgent services: how much there is, and how much is kept.
+//! Headroom for urgent services: how many slots there are, and how many are kept. A slot is the
+//! capacity for one task of the latest urgent service, the reference task.
 use super::capacity::slots_on_empty_machine;
-use super::AutoscalerTurn;
+use super::view::AutoscalerView;
 use crate::cluster::{Lifecycle, Machine};
-use crate::context::LeaderContext;
 use crate::resources::Resources;
 use stonegw_constants::{HEADROOM_BOOT_LATE_MULTIPLE, RESOURCE_EPSILON, URGENT_ARRIVAL_WINDOW_MS};
 use stonegw_wire::msg::{JobSpec, MachineType};
 
-impl AutoscalerTurn<'_> {
-    /// Slots to keep for urgent tasks: a few, and the spread of what arrives during a boot.
-    pub(super) fn wanted_headroom_slots(&self, context: &LeaderContext) -> f64 {
-        let Some(spec) = &self.autoscaler.reference_task else {
-            return 0.0;
-        };
-        let types = self.cluster.catalog.machine_types.iter();
-        let suitable = types.filter(|t| slots_on_empty_machine(t, spec) > 0);
-        let boot = suitable.map(|t| t.boot_s).fold(0.0, f64::max);
-        let span = context
-            .now
-            .monotonic_ms
-            .saturating_sub(self.term_began_at)
-            .min(URGENT_ARRIVAL_WINDOW_MS) as f64
-            / 1e3;
-        let span = span.max(boot).max(1.0);
-        let (came, went) = (
-            self.autoscaler.urgent_arrivals.len(),
-            self.autoscaler.urgent_departures.len(),
-        );
-        let rate = came as f64 / span;
-        // While more come than go, what comes during a boot needs room that is up already.
-        let growth = came.saturating_sub(went) as f64 / span;
-        context.settings.tuning.headroom_tasks + growth * boot + (rate * boot).sqrt()
-    }
+/// A reference task that takes less is counted as taking this much.
+const MIN_TASK_SIZE: f64 = 0.01;
 
-    /// How many usual urgent tasks could run beside those that do, pushing lesser work aside.
-    /// `coming`: on machines that boot, too.
-    pub(super) fn headroom_slots(&self, context: &LeaderContext, coming: bool) -> f64 {
-        let Some(spec) = &self.autoscaler.reference_task else {
-            return 0.0;
-        };
-        let mut sum = 0.0;
-        for m in self.cluster.machines.values() {
-            if m.spot || !self.counts_as_headroom(context, m, coming) {
-                continue;
-            }
-            let Some(machine_type) = self.cluster.machine_type(&m.machine_type) else {
-                continue;
-            };
-            sum += self.urgent_slots_on(m, machine_type, spec);
+/// Which machines count.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum HeadroomScope {
+    /// Machines that are up.
+    Ready,
+    /// Those that boot as well.
+    ReadyAndProvisioning,
+}
+
+/// Slots to keep for urgent tasks: a few, and the spread of what arrives during a boot.
+pub(super) fn wanted_slots(view: &AutoscalerView) -> f64 {
+    let Some(spec) = view.reference_task else {
+        return 0.0;
+    };
+    let longest_boot_s = view
+        .cluster
+        .catalog
+        .machine_types
+        .iter()
+        .filter(|machine_type| slots_on_empty_machine(machine_type, spec) > 0)
+        .map(|machine_type| machine_type.boot_s)
+        .fold(0.0, f64::max);
+    let observed_s = view
+        .now()
+        .saturating_sub(view.term_began_at)
+        .min(URGENT_ARRIVAL_WINDOW_MS) as f64
+        / 1e3;
+    let span_s = observed_s.max(longest_boot_s).max(1.0);
+    let arrivals_per_s = view.arrivals.urgent_arrival_count() as f64 / span_s;
+    // While more tasks arrive than end, what arrives during a boot needs capacity that is up
+    // already.
+    let growth_per_s = view.arrivals.urgent_growth() as f64 / span_s;
+    view.context.settings.tuning.headroom_tasks
+        + growth_per_s * longest_boot_s
+        + (arrivals_per_s * longest_boot_s).sqrt()
+}
+
+/// How many reference tasks could run beside the urgent ones that do, by preempting others.
+pub(super) fn available_slots(view: &AutoscalerView, scope: HeadroomScope) -> f64 {
+    let Some(spec) = view.reference_task else {
+        return 0.0;
+    };
+    let mut slots = 0.0;
+    for machine in view.cluster.machines.values() {
+        if machine.spot || !counts_as_headroom(view, machine, scope) {
+            continue;
         }
-        sum
+        let Some(machine_type) = view.cluster.machine_type(&machine.machine_type) else {
+            continue;
+        };
+        slots += urgent_slots_on(view, machine, machine_type, spec);
     }
+    slots
+}
 
-    /// Room on a silent machine, or on one whose boot is overdue, is no room.
-    fn counts_as_headroom(&self, context: &LeaderContext, m: &Machine, coming: bool) -> bool {
-        let now = context.now.monotonic_ms;
-        let boot = self
-            .cluster
-            .machine_type(&m.machine_type)
-            .map_or(0.0, |t| t.boot_s);
-        let age = now.saturating_sub(m.provisioned_at) as f64 / 1e3;
-        match m.lifecycle {
-            Lifecycle::Ready => {
-                !m.is_silent(now, context.settings.heartbeat_interval_s) && !m.via_store
-            }
-            Lifecycle::Provisioning => coming && age < boot * HEADROOM_BOOT_LATE_MULTIPLE,
-            _ => false,
+/// Capacity of a silent machine, or of one whose boot is overdue, is no headroom.
+fn counts_as_headroom(view: &AutoscalerView, machine: &Machine, scope: HeadroomScope) -> bool {
+    match machine.lifecycle {
+        Lifecycle::Ready => !view.is_silent(machine) && !machine.via_store,
+        Lifecycle::Provisioning => {
+            let boot_s = view
+                .cluster
+                .machine_type(&machine.machine_type)
+                .map_or(0.0, |machine_type| machine_type.boot_s);
+            scope == HeadroomScope::ReadyAndProvisioning
+                && view.age_s(machine) < boot_s * HEADROOM_BOOT_LATE_MULTIPLE
         }
+        Lifecycle::Draining | Lifecycle::Terminating => false,
     }
+}
 
-    /// Slots on one machine beside the tasks that are not of lesser priority.
-    fn urgent_slots_on(&self, m: &Machine, machine_type: &MachineType, spec: &JobSpec) -> f64 {
-        let mut free = Resources::of_type(machine_type);
-        for p in m.placements.iter().filter(|p| p.is_present()) {
-            let lesser = self
-                .cluster
-                .jobs
-                .get(&p.job)
-                .is_some_and(|w| w.spec.priority < spec.priority);
-            if !lesser {
-                free -= p.resources();
-            }
+/// Slots on one machine beside the tasks that are not of lower priority.
+fn urgent_slots_on(
+    view: &AutoscalerView,
+    machine: &Machine,
+    machine_type: &MachineType,
+    spec: &JobSpec,
+) -> f64 {
+    let mut free = Resources::of_type(machine_type);
+    for placement in &machine.placements {
+        let is_preemptible = view
+            .cluster
+            .jobs
+            .get(&placement.job)
+            .is_some_and(|job| job.spec.priority < spec.priority);
+        if placement.is_present() && !is_preemptible {
+            free -= placement.resources();
         }
-        let by_cpus = (free.cpus + RESOURCE_EPSILON) / spec.cpus.max(0.01);
-        let by_memory = (free.memory_gb + RESOURCE_EPSILON) / spec.memory_gb.max(0.01);
-        by_cpus.min(by_memory).floor().max(0.0)
     }
+    let by_cpus = (free.cpus + RESOURCE_EPSILON) / spec.cpus.max(MIN_TASK_SIZE);
+    let by_memory = (free.memory_gb + RESOURCE_EPSILON) / spec.memory_gb.max(MIN_TASK_SIZE);
+    by_cpus.min(by_memory).floor().max(0.0)
 }
--- a/crates/control/src/autoscaler/machine_list.rs
+++ b/crates/control/src/autoscaler/machine_list.rs
@@ -1,112 +1,167 @@
-//! The cloud's list of machines: read page by page, then taken in.
-use super::AutoscalerTurn;
-use crate::api::describe_result;
-use crate::api::{CallResult, Millis};
+//! The cloud's list of machines: read page by page, then applied to the cluster state.
+use super::cloud_calls::{CloudCallLimiter, PeriodicCall};
+use crate::api::{describe_result, CallResult, Millis};
 use crate::calls::AutoscalerCall;
-use crate::cluster::{Lifecycle, Machine};
+use crate::cluster::{ClusterState, Lifecycle, Machine};
 use crate::context::LeaderContext;
 use std::collections::HashSet;
 use stonegw_constants::MACHINE_LIST_INTERVAL_MS;
 use stonegw_wire::msg::{decode, ListedMachine, MachineListPage, MachineState};
 
-impl AutoscalerTurn<'_> {
-    /// Reads the list's next page when it is time.
-    pub(super) fn request_machine_list(&mut self, context: &mut LeaderContext) {
-        let now = context.now.monotonic_ms;
-        if now >= self.autoscaler.next_list_at
-            && !self.autoscaler.is_list_in_flight
-            && self.try_take_cloud_call(now)
-        {
-            self.autoscaler.is_list_in_flight = true;
-            let mut path = "/hosts?limit=500".to_owned();
-            if let Some(last) = self
-                .autoscaler
-                .partial_listing
-                .as_ref()
-                .and_then(|l| l.last())
-            {
-                path.push_str(&format!("&since={}", last.machine_id));
-            }
+/// A list may lie back by the configured lag; it is trusted after this many times of it.
+const LISTING_LAG_MULTIPLE: f64 = 2.0;
+/// So many lists in a row must lack a machine before it counts as gone.
+const MAX_ABSENT_LISTINGS: u32 = 2;
+/// Ages in the list are cut to this, s.
+const MAX_AGE_S: f64 = 1e9;
+
+/// Reads the list of machines.
+pub(super) struct MachineListReader {
+    call: PeriodicCall,
+    /// The pages read so far of a list that is being read.
+    partial: Option<Vec<ListedMachine>>,
+    has_read_full_list: bool,
+}
+
+impl MachineListReader {
+    /// A reader that starts at once.
+    pub(super) fn new(now: Millis) -> Self {
+        MachineListReader {
+            call: PeriodicCall::new(now),
+            partial: None,
+            has_read_full_list: false,
+        }
+    }
+
+    /// Whether a list was read to its end since this leader began.
+    pub(super) fn has_read_full_list(&self) -> bool {
+        self.has_read_full_list
+    }
+
+    /// Asks for the next page when it is time.
+    pub(super) fn request_if_due(
+        &mut self,
+        context: &mut LeaderContext,
+        limiter: &mut CloudCallLimiter,
+    ) {
+        if self.call.start_if_due(context.now.monotonic_ms, limiter) {
+            let path = self.next_page_path();
             context.call_cloud(AutoscalerCall::ListMachines, "GET", &path, vec![]);
         }
     }
 
-    /// A page of the list came, or no answer did.
-    pub(super) fn machine_list_done(&mut self, context: &LeaderContext, result: CallResult) {
-        let now = context.now.monotonic_ms;
-        self.autoscaler.is_list_in_flight = false;
-        self.autoscaler.next_list_at = now + MACHINE_LIST_INTERVAL_MS;
-        let page = match result {
-            Ok((200, body)) => match decode::<MachineListPage>(&body) {
-                Ok(page) => page,
-                Err(e) => return log::warn!("machine list not understood: {e}"),
-            },
-            other => return log::debug!("machine list: {}", describe_result(&other)),
-        };
-        let more = page.has_more && !page.machines.is_empty();
-        self.autoscaler
-            .partial_listing
-            .get_or_insert_default()
-            .extend(page.machines);
-        if more {
-            self.autoscaler.next_list_at = now;
-            return;
+    fn next_page_path(&self) -> String {
+        let mut path = "/hosts?limit=500".to_owned();
+        if let Some(last) = self.partial.as_ref().and_then(|machines| machines.last()) {
+            path.push_str(&format!("&since={}", last.machine_id));
         }
-        let list = self.autoscaler.partial_listing.take().unwrap_or_default();
-        self.autoscaler.has_full_listing = true;
-        let mut present = HashSet::new();
-        for listed in list {
-            present.insert(listed.machine_id.clone());
-            if !self
-                .cluster
-                .deleted_machines
-                .contains_key(&listed.machine_id)
-            {
-                self.apply_listed_machine(now, listed);
-            }
+        path
+    }
+
+    /// Takes the answer with one page. `Some`: it was the last one, and this is the whole list.
+    pub(super) fn handle_response(
+        &mut self,
+        now: Millis,
+        result: CallResult,
+    ) -> Option<Vec<ListedMachine>> {
+        self.call.finish(now + MACHINE_LIST_INTERVAL_MS);
+        let page = decode_page(result)?;
+        let is_last = !page.has_more || page.machines.is_empty();
+        self.partial.get_or_insert_default().extend(page.machines);
+        if !is_last {
+            self.call.finish(now);
+            return None;
         }
-        self.count_absent_listings(context, &present);
+        self.has_read_full_list = true;
+        self.partial.take()
     }
+}
 
-    /// Takes in what the list tells of one machine.
-    fn apply_listed_machine(&mut self, now: Millis, listed: ListedMachine) {
-        let age = (listed.age_s.clamp(0.0, 1e9) * 1e3) as u64;
-        self.cluster.machines.add(&listed.machine_id, || {
-            log::info!("machine {} found in the list", listed.machine_id);
-            let (id, machine_type) = (&listed.machine_id, &listed.machine_type);
-            let mut m = Machine::new(id, machine_type, &listed.zone, listed.is_spot, now);
-            m.provisioned_at = now.saturating_sub(age);
-            m
-        });
-        let Some(mut m) = self.cluster.machines.edit(&listed.machine_id) else {
-            return;
-        };
-        m.was_listed = true;
-        m.listed_as_running = listed.state == MachineState::Running;
-        m.absent_listings = 0;
-        if m.addr.is_none() {
-            m.addr = listed.addr;
+fn decode_page(result: CallResult) -> Option<MachineListPage> {
+    match result {
+        Ok((200, body)) => decode::<MachineListPage>(&body)
+            .inspect_err(|error| log::warn!("malformed machine list: {error}"))
+            .ok(),
+        other => {
+            log::debug!("machine list: {}", describe_result(&other));
+            None
         }
-        if listed.state == MachineState::Failed && m.lifecycle != Lifecycle::Terminating {
-            log::warn!("machine {} failed", m.id);
-            m.set_lifecycle(Lifecycle::Terminating);
+    }
+}
+
+/// Brings the machines in line with a whole list.
+pub(super) fn apply_machine_list(
+    cluster: &mut ClusterState,
+    context: &LeaderContext,
+    list: Vec<ListedMachine>,
+) {
+    let now = context.now.monotonic_ms;
+    let mut listed_ids = HashSet::new();
+    for listed in list {
+        listed_ids.insert(listed.machine_id.clone());
+        if !cluster.deleted_machines.contains_key(&listed.machine_id) {
+            apply_listed_machine(cluster, now, listed);
         }
     }
+    count_absent_listings(cluster, context, &listed_ids);
+}
 
-    /// Once listed, a machine stays listed until it is gone; but lists are old.
-    fn count_absent_listings(&mut self, context: &LeaderContext, present: &HashSet<String>) {
-        let now = context.now.monotonic_ms;
-        let lag = (context.settings.cloud_listing_lag_s * 2.0 * 1e3) as u64;
-        self.cluster.machines.edit_all(|m| {
-            if !present.contains(&m.id) && m.was_listed && now > m.known_since + lag {
-                m.absent_listings += 1;
-                if m.absent_listings >= 2
-                    && m.last_heartbeat_at.is_none()
-                    && m.lifecycle == Lifecycle::Provisioning
-                {
-                    m.set_lifecycle(Lifecycle::Terminating);
-                }
-            }
-        });
+fn apply_listed_machine(cluster: &mut ClusterState, now: Millis, listed: ListedMachine) {
+    cluster
+        .machines
+        .add(&listed.machine_id, || machine_from_list(now, &listed));
+    let Some(mut machine) = cluster.machines.edit(&listed.machine_id) else {
+        return;
+    };
+    machine.was_listed = true;
+    machine.listed_as_running = listed.state == MachineState::Running;
+    machine.absent_listings = 0;
+    if machine.addr.is_none() {
+        machine.addr = listed.addr;
     }
+    if listed.state == MachineState::Failed && machine.lifecycle != Lifecycle::Terminating {
+        log::warn!("machine {} failed", machine.id);
+        machine.set_lifecycle(Lifecycle::Terminating);
+    }
+}
+
+/// A machine that this leader learns of from the list.
+fn machine_from_list(now: Millis, listed: &ListedMachine) -> Machine {
+    log::info!("machine {} found in the list", listed.machine_id);
+    let mut machine = Machine::new(
+        &listed.machine_id,
+        &listed.machine_type,
+        &listed.zone,
+        listed.is_spot,
+        now,
+    );
+    let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1e3) as u64;
+    machine.provisioned_at = now.saturating_sub(age_ms);
+    machine
+}
+
+/// Counts the lists that lack a machine: once listed, a machine stays listed until it is gone, but
+/// a list may be older than the machine.
+fn count_absent_listings(
+    cluster: &mut ClusterState,
+    context: &LeaderContext,
+    listed_ids: &HashSet<String>,
+) {
+    let now = context.now.monotonic_ms;
+    let lag_ms = (context.settings.cloud_listing_lag_s * LISTING_LAG_MULTIPLE * 1e3) as u64;
+    cluster.machines.edit_all(|machine| {
+        let is_absent = !listed_ids.contains(&machine.id)
+            && machine.was_listed
+            && now > machine.known_since + lag_ms;
+        if !is_absent {
+            return;
+        }
+        machine.absent_listings += 1;
+        if machine.absent_listings >= MAX_ABSENT_LISTINGS
+            && machine.last_heartbeat_at.is_none()
+            && machine.lifecycle == Lifecycle::Provisioning
+        {
+            machine.set_lifecycle(Lifecycle::Terminating);
+        }
+    });
 }
--- a/crates/control/src/autoscaler/mod.rs
+++ b/crates/control/src/autoscaler/mod.rs
@@ -1,165 +1,138 @@
-//! The fleet's state, and the order in which its parts run. What is wanted follows from the work
-//! at hand, the live catalogue and the refusals observed; names of requests carry the term and
-//! are never reused.
-use crate::api::Millis;
+//! The autoscaler decides how many machines of which offer are wanted, and asks the cloud for
+//! them. What is wanted follows from the pending work, the catalogue and the refusals observed.
+//!
+//! This module owns the state and fixes the order of the steps; each step is a module below it:
+//!
+//! - what reads the cloud: `machine_list`, `catalog`;
+//! - what is known of the present: `arrivals`, `available_capacity`, `demand`, `headroom`,
+//!   `gang_headroom`, all from one `view`;
+//! - what decides: `sizing` with `deadline_sizing` on one `sizing_plan`, and `scale_in`;
+//! - what sends: `provision_queue` and `termination`, within the limits of `cloud_calls`.
+use crate::api::{CallResult, Millis};
+use crate::calls::AutoscalerCall;
 use crate::cluster::ClusterState;
 use crate::context::LeaderContext;
 use crate::pause::Pause;
 use crate::scheduling::estimates::RunTimeEstimates;
-use crate::settings::TokenBucket;
-use std::collections::{HashMap, VecDeque};
-use stonegw_constants::{AUTOSCALER_INTERVAL_MS, CATALOG_READ_INTERVAL_MS};
-use stonegw_wire::msg::{JobSpec, ListedMachine, ProvisionRequest};
+use arrivals::RecentArrivals;
+use catalog::CatalogReader;
+use cloud_calls::CloudCallLimiter;
+use machine_list::{apply_machine_list, MachineListReader};
+use provision_queue::{add_granted_machines, ProvisionQueue};
+use scale_in::ScaleInReview;
+use sizing::{latest_urgent_service, plan_scale_out};
+use stonegw_constants::AUTOSCALER_INTERVAL_MS;
+use stonegw_wire::msg::JobSpec;
+use termination::{handle_terminate_response, terminate_machines};
+use view::AutoscalerView;
 
 mod arrivals;
-mod call_results;
+mod available_capacity;
 mod capacity;
 mod catalog;
+mod cloud_calls;
 mod deadline_sizing;
 mod demand;
 mod gang_headroom;
 mod headroom;
 mod machine_list;
-mod provision;
+mod offer;
+mod offer_backoff;
+mod provision_queue;
 mod scale_in;
 mod sizing;
-
-/// Whether a rental waits to be asked for.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum ProvisionState {
-    /// To be sent at this time or later.
-    Due { not_before: Millis },
-    /// Sent, not answered.
-    Sent,
-}
-
-/// A rental that the cloud has not granted or refused.
-#[derive(Debug)]
-struct PendingProvision {
-    number: u64,
-    request: ProvisionRequest,
-    state: ProvisionState,
-    /// An answer may be lost: the same request must be repeated until one comes.
-    is_unacknowledged: bool,
-}
-
-/// What the cloud rents out: a machine type in a zone, spot or not.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct MachineOffer {
-    machine_type: String,
-    zone: String,
-    spot: bool,
-}
-
-/// What follows from the cloud's refusal of an offer.
-#[derive(Clone, Copy, Debug)]
-struct OfferBackoff {
-    /// Not asked for before.
-    retry_at: Millis,
-    /// How long the wait was; the next one is longer.
-    backoff_ms: u64,
-}
-
-/// A gang that arrived of late.
-#[derive(Clone, Debug)]
-struct GangArrival {
-    arrived_at: Millis,
-    spec: JobSpec,
-}
-
-/// A job with a deadline that arrived of late.
-#[derive(Clone, Copy, Debug)]
-struct DeadlineArrival {
-    arrived_at: Millis,
-    /// CPU-seconds of all of its tasks.
-    cpu_seconds: f64,
-    /// How long one of its tasks runs.
-    run_s: f64,
-}
+mod sizing_plan;
+mod termination;
+mod view;
 
 /// What the leader holds about the cloud and the machines it has asked for.
 pub struct Autoscaler {
-    term: u64,
     /// When the size is decided next.
     next_sizing_at: Millis,
-    next_list_at: Millis,
-    /// The pages read so far of a list that is being read.
-    partial_listing: Option<Vec<ListedMachine>>,
-    /// A whole list has come.
-    has_full_listing: bool,
-    is_list_in_flight: bool,
-    next_catalog_at: Millis,
-    is_catalog_in_flight: bool,
-    /// The cloud wants no calls before.
-    calls_paused_until: Millis,
-    call_budget: Option<TokenBucket>,
-    /// The number of the latest rental.
-    last_provision_number: u64,
-    pending_provisions: Vec<PendingProvision>,
-    offer_backoffs: HashMap<MachineOffer, OfferBackoff>,
-    /// The latest urgent service seen, the size that spare room is kept for.
-    pub reference_task: Option<JobSpec>,
-    /// When urgent services arrived of late.
-    urgent_arrivals: VecDeque<Millis>,
-    /// When urgent services ended of late.
-    urgent_departures: VecDeque<Millis>,
-    gang_arrivals: Vec<GangArrival>,
-    deadline_arrivals: VecDeque<DeadlineArrival>,
+    call_limiter: CloudCallLimiter,
+    machine_list: MachineListReader,
+    catalog: CatalogReader,
+    provisions: ProvisionQueue,
+    arrivals: RecentArrivals,
+    /// The latest urgent service: the size of task that headroom is kept for.
+    reference_task: Option<JobSpec>,
 }
 
 impl Autoscaler {
-    /// The fleet of a new leader, that knows of no machine.
+    /// The autoscaler of a new leader, that knows of no machine.
     pub fn new(term: u64, now: Millis) -> Autoscaler {
         Autoscaler {
-            term,
             next_sizing_at: now,
-            next_list_at: now,
-            partial_listing: None,
-            has_full_listing: false,
-            is_list_in_flight: false,
-            next_catalog_at: now + CATALOG_READ_INTERVAL_MS,
-            is_catalog_in_flight: false,
-            calls_paused_until: 0,
-            call_budget: None,
-            last_provision_number: 0,
-            pending_provisions: vec![],
-            offer_backoffs: HashMap::new(),
+            call_limiter: CloudCallLimiter::default(),
+            machine_list: MachineListReader::new(now),
+            catalog: CatalogReader::new(now),
+            provisions: ProvisionQueue::new(term),
+            arrivals: RecentArrivals::default(),
             reference_task: None,
-            urgent_arrivals: VecDeque::new(),
-            urgent_departures: VecDeque::new(),
-            gang_arrivals: vec![],
-            deadline_arrivals: VecDeque::new(),
         }
     }
 
-    /// The process ran again after a pause: nothing arrived or ended in it as far as we know, so that the rates
-    /// leave it out.
+    /// The process ran again after a pause: rates of arrival leave it out.
     pub fn resume(&mut self, pause: Pause) {
-        let services = self
-            .urgent_arrivals
-            .iter_mut()
-            .chain(&mut self.urgent_departures);
-        let dated = self
-            .deadline_arrivals
-            .iter_mut()
-            .map(|arrival| &mut arrival.arrived_at);
-        let gangs = self
-            .gang_arrivals
-            .iter_mut()
-            .map(|arrival| &mut arrival.arrived_at);
-        services
-            .chain(dated)
-            .chain(gangs)
-            .for_each(|at| pause.shift(at));
+        self.arrivals.resume(pause);
+    }
+
+    /// A task of an urgent service arrived.
+    pub fn record_urgent_arrival(&mut self, now: Millis) {
+        self.arrivals.record_urgent_arrival(now);
+    }
+
+    /// An urgent service ended.
+    pub fn record_urgent_departure(&mut self, now: Millis) {
+        self.arrivals.record_urgent_departure(now);
+    }
+
+    /// A gang arrived.
+    pub fn record_gang_arrival(&mut self, now: Millis, spec: &JobSpec) {
+        self.arrivals.record_gang(now, spec);
+    }
+
+    /// A job with a deadline became known, `age_ms` after its submission; one of its tasks runs
+    /// for about `run_s`.
+    pub fn record_deadline_arrival(
+        &mut self,
+        now: Millis,
+        age_ms: u64,
+        spec: &JobSpec,
+        run_s: f64,
+    ) {
+        self.arrivals.record_deadline_job(now, age_ms, spec, run_s);
+    }
+
+    /// What one decision is based on.
+    fn view<'a>(
+        &'a self,
+        context: &'a LeaderContext<'a>,
+        cluster: &'a ClusterState,
+        is_active: bool,
+        term_began_at: Millis,
+    ) -> AutoscalerView<'a> {
+        AutoscalerView {
+            context,
+            cluster,
+            arrivals: &self.arrivals,
+            provisions: &self.provisions,
+            reference_task: self.reference_task.as_ref(),
+            is_active,
+            term_began_at,
+        }
     }
 }
 
 /// One turn of the autoscaler: its own state and what it works on.
 pub struct AutoscalerTurn<'a> {
+    /// What is kept from turn to turn.
     pub autoscaler: &'a mut Autoscaler,
+    /// Machines, jobs and the catalogue.
     pub cluster: &'a mut ClusterState,
+    /// How long tasks run.
     pub estimates: &'a mut RunTimeEstimates,
-    /// The leader has heard the workers and places tasks.
+    /// The leader has received the workers' heartbeats and places tasks.
     pub is_active: bool,
     /// No earlier leader stored a placement.
     pub is_first_leader: bool,
@@ -168,41 +141,100 @@
 }
 
 impl AutoscalerTurn<'_> {
-    /// Decides on the fleet's size when it is time, and makes the calls that are due.
+    /// Decides on the cluster's size when it is time, and makes the calls that are due.
     pub fn run(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
-        if self.autoscaler.call_budget.is_none() {
-            let rps = context.settings.cloud_requests_per_s;
-            self.autoscaler.call_budget = Some(TokenBucket::new(rps * 0.8, (rps * 1.6).max(1.0)));
-        }
-        let active = self.is_active;
-        // A leader without predecessors need not hear the machines to know that more are wanted:
-        // a list tells of them, and every second of the first boots counts.
-        if now >= self.autoscaler.next_sizing_at
-            && (active || self.is_first_leader && self.autoscaler.has_full_listing)
-        {
+        self.autoscaler
+            .call_limiter
+            .init_rate(context.settings.cloud_requests_per_s);
+        if now >= self.autoscaler.next_sizing_at && self.may_size() {
             self.autoscaler.next_sizing_at = now + AUTOSCALER_INTERVAL_MS;
-            if active {
-                self.scale_in_idle(context);
+            if self.is_active {
+                self.scale_in(context);
             }
-            self.decide_size(context);
+            self.scale_out(context);
         }
-        if now < self.autoscaler.calls_paused_until {
-            return;
+        if !self.autoscaler.call_limiter.is_paused(now) {
+            self.send_calls(context);
         }
-        if active {
-            self.terminate_machines(context);
+    }
+
+    /// Whether enough is known to decide on the size. A leader without predecessors need not wait
+    /// for heartbeats to know that more machines are wanted: a list names those that there are,
+    /// and every second of the first boots counts.
+    fn may_size(&self) -> bool {
+        let has_list = self.autoscaler.machine_list.has_read_full_list();
+        self.is_active || self.is_first_leader && has_list
+    }
+
+    /// Marks machines for termination that are idle or never came up.
+    fn scale_in(&mut self, context: &LeaderContext) {
+        let view = self
+            .autoscaler
+            .view(context, self.cluster, self.is_active, self.term_began_at);
+        let mut review = ScaleInReview::new(&view);
+        self.cluster
+            .machines
+            .edit_all(|machine| review.review_machine(machine));
+    }
+
+    /// Queues requests for the machines that are missing.
+    fn scale_out(&mut self, context: &LeaderContext) {
+        if let Some(spec) = latest_urgent_service(self.cluster) {
+            self.autoscaler.reference_task = Some(spec.clone());
         }
-        self.send_provision(context);
-        self.request_machine_list(context);
-        self.request_catalog(context);
+        let view = self
+            .autoscaler
+            .view(context, self.cluster, self.is_active, self.term_began_at);
+        let counts = plan_scale_out(&view, self.estimates);
+        let now = context.now.monotonic_ms;
+        self.autoscaler.provisions.enqueue(now, counts);
     }
 
-    /// Whether one more call to the cloud may go out now.
-    fn try_take_cloud_call(&mut self, now: Millis) -> bool {
-        self.autoscaler
-            .call_budget
-            .as_mut()
-            .is_some_and(|b| b.try_take(now, 1.0))
+    /// Makes the calls that are due, those that matter most first.
+    fn send_calls(&mut self, context: &mut LeaderContext) {
+        let autoscaler = &mut *self.autoscaler;
+        let limiter = &mut autoscaler.call_limiter;
+        if self.is_active {
+            terminate_machines(self.cluster, context, limiter);
+        }
+        autoscaler.provisions.send_next(context, limiter);
+        autoscaler.machine_list.request_if_due(context, limiter);
+        autoscaler.catalog.request_if_due(context, limiter);
+    }
+
+    /// A call to the cloud was answered, or no answer came.
+    pub fn cloud_call_done(
+        &mut self,
+        context: &LeaderContext,
+        call: AutoscalerCall,
+        result: CallResult,
+    ) {
+        let now = context.now.monotonic_ms;
+        let autoscaler = &mut *self.autoscaler;
+        if matches!(result, Ok((429, _))) {
+            autoscaler.call_limiter.pause(now);
+        }
+        match call {
+            AutoscalerCall::ReadCatalog => {
+                if let Some(catalog) = autoscaler.catalog.handle_response(now, result) {
+                    self.cluster.catalog = catalog;
+                }
+            }
+            AutoscalerCall::ListMachines => {
+                if let Some(list) = autoscaler.machine_list.handle_response(now, result) {
+                    apply_machine_list(self.cluster, context, list);
+                }
+            }
+            AutoscalerCall::Provision { number } => {
+                let granted = autoscaler.provisions.handle_response(now, number, result);
+                if let Some(granted) = granted {
+                    add_granted_machines(self.cluster, now, granted);
+                }
+            }
+            AutoscalerCall::Terminate { machine_ids } => {
+                handle_terminate_response(self.cluster, now, machine_ids, result);
+            }
+        }
     }
 }
--- a/crates/control/src/autoscaler/scale_in.rs
+++ b/crates/control/src/autoscaler/scale_in.rs
@@ -1,158 +1,151 @@
-//! Returning machines: those that are idle or never came up are marked, and their deletion asked
-//! for.
+//! Scaling in: machines that are idle or never came up are marked for termination.
 use super::capacity::slots_on_empty_machine;
 use super::gang_headroom::GangHeadroom;
-use super::AutoscalerTurn;
+use super::headroom::{self, HeadroomScope};
+use super::view::AutoscalerView;
 use crate::api::Millis;
-use crate::calls::AutoscalerCall;
 use crate::cluster::{Lifecycle, Machine, Phase};
-use crate::context::LeaderContext;
-use stonegw_constants::{
-    BOOT_TIMEOUT_MULTIPLE, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MAX_MACHINES_PER_DELETE,
-};
-use stonegw_wire::msg::{encode, JobSpec, MachineIds, MachineType};
+use stonegw_constants::BOOT_TIMEOUT_MULTIPLE;
+use stonegw_wire::msg::{JobSpec, MachineType};
 
-/// What decides whether a machine is returned, while all machines are gone through.
-struct ScaleInReview {
+/// Boot time of a machine type that the catalogue no longer has, s.
+const UNKNOWN_BOOT_S: f64 = 60.0;
+/// Worker leases for which a machine that is up may go without a heartbeat.
+const SILENCE_LIMIT_LEASES: f64 = 3.0;
+
+/// What decides whether a machine is given up, while all machines are gone through.
+pub(super) struct ScaleInReview {
     now: Millis,
     machine_types: Vec<MachineType>,
-    /// The latest urgent service seen.
+    /// The size of task that headroom is kept for.
     reference_task: Option<JobSpec>,
     /// Slots that urgent services could have, beyond what they use.
     headroom_slots: f64,
     /// Slots to keep for them.
     wanted_headroom_slots: f64,
     gang_headroom: Option<GangHeadroom>,
-    /// How many boots long an idle machine is kept.
-    idle_boots: f64,
-    /// How long a machine that is up may stay unheard.
+    /// For how many boot times an idle machine is kept.
+    idle_retention_boots: f64,
+    /// How long a machine that is up may go without a first heartbeat.
     silence_limit_ms: u64,
 }
 
 impl ScaleInReview {
-    fn machine_type_of(&self, machine: &Machine) -> Option<&MachineType> {
-        self.machine_types
-            .iter()
-            .find(|t| t.name == machine.machine_type)
+    /// A review of all machines as they are now.
+    pub(super) fn new(view: &AutoscalerView) -> Self {
+        let settings = view.context.settings;
+        ScaleInReview {
+            now: view.now(),
+            machine_types: view.cluster.catalog.machine_types.clone(),
+            reference_task: view.reference_task.cloned(),
+            headroom_slots: headroom::available_slots(view, HeadroomScope::Ready),
+            wanted_headroom_slots: headroom::wanted_slots(view),
+            gang_headroom: GangHeadroom::new(view),
+            idle_retention_boots: settings.tuning.idle_retention_boots,
+            silence_limit_ms: (settings.worker_lease_s * (SILENCE_LIMIT_LEASES * 1e3)) as u64,
+        }
     }
 
-    /// Marks the machine for deletion if it is of no use any more.
-    fn review_machine(&mut self, machine: &mut Machine) {
-        let unsettled = machine.placements.iter().any(|p| {
-            matches!(
-                p.phase,
-                Phase::Exited {
-                    outcome_stored: false,
-                    ..
-                }
-            )
-        });
+    /// Marks the machine for termination if it is of no use any more.
+    pub(super) fn review_machine(&mut self, machine: &mut Machine) {
         match machine.lifecycle {
             Lifecycle::Provisioning if self.has_failed_to_boot(machine) => {
                 log::warn!("machine {} never came up", machine.id);
                 machine.set_lifecycle(Lifecycle::Terminating);
             }
-            Lifecycle::Draining if machine.is_idle() && !unsettled => {
+            Lifecycle::Draining if machine.is_idle() && !has_unstored_outcome(machine) => {
                 machine.set_lifecycle(Lifecycle::Terminating)
             }
-            Lifecycle::Ready if machine.is_idle() => self.review_idle(machine, unsettled),
+            Lifecycle::Ready if machine.is_idle() => self.review_idle(machine),
             Lifecycle::Ready => machine.idle_since = None,
-            _ => {}
+            Lifecycle::Provisioning | Lifecycle::Draining | Lifecycle::Terminating => {}
         }
     }
 
-    /// Whether a booting machine is overdue and nothing was heard of it.
-    fn has_failed_to_boot(&self, m: &Machine) -> bool {
-        let boot = self.machine_type_of(m).map_or(60.0, |t| t.boot_s);
-        let age = self.now.saturating_sub(m.provisioned_at) as f64 / 1e3;
-        // One that the list calls running is up, and not heard yet by a new leader; it
-        // may be behind a cut.
-        let over = if m.listed_as_running {
-            self.now > m.known_since + self.silence_limit_ms
+    /// Whether a machine should be up by now and has sent nothing.
+    fn has_failed_to_boot(&self, machine: &Machine) -> bool {
+        // One that is listed as running is up, but has not reached a new leader yet; its zone may
+        // be partitioned.
+        let is_overdue = if machine.listed_as_running {
+            self.now > machine.known_since + self.silence_limit_ms
         } else {
-            age > boot * BOOT_TIMEOUT_MULTIPLE
+            let boot_s = self
+                .machine_type_of(machine)
+                .map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
+            let age_s = self.now.saturating_sub(machine.provisioned_at) as f64 / 1e3;
+            age_s > boot_s * BOOT_TIMEOUT_MULTIPLE
         };
-        over && m.last_heartbeat_at.is_none() && m.placements.is_empty()
+        is_overdue && machine.last_heartbeat_at.is_none() && machine.placements.is_empty()
     }
 
-    /// Marks an idle machine for deletion unless its room is kept or it is idle for a short time.
-    fn review_idle(&mut self, machine: &mut Machine, unsettled: bool) {
-        let since = *machine.idle_since.get_or_insert(self.now);
+    /// Marks an idle machine for termination, unless its capacity is kept as headroom or it has
+    /// been idle for a short time only.
+    fn review_idle(&mut self, machine: &mut Machine) {
+        let idle_since = *machine.idle_since.get_or_insert(self.now);
+        let is_retained = self.now < idle_since + self.idle_retention_ms(machine);
         let slots = self.reference_task_slots(machine);
-        let gang_room = self.gang_headroom.as_ref();
-        let gang_slots = gang_room.map_or(0, |g| g.slots_on(machine, &self.machine_types));
-        let short = gang_room.is_some_and(|g| g.is_short_without(gang_slots));
-        let kept = slots > 0.0 && self.headroom_slots - slots < self.wanted_headroom_slots
-            || gang_slots > 0 && short;
-        // To rent it again would cost a boot: as long as that it is worth keeping.
-        let boot = self.machine_type_of(machine).map_or(0.0, |t| t.boot_s);
-        let patience = (boot * self.idle_boots * 1e3) as u64;
-        if self.now >= since + patience && !kept && !unsettled {
-            self.headroom_slots -= slots;
-            if let Some(g) = &mut self.gang_headroom {
-                g.free_slots = g.free_slots.saturating_sub(gang_slots);
-            }
-            machine.set_lifecycle(Lifecycle::Terminating);
+        let gang_slots = self.gang_slots(machine);
+        if is_retained || self.is_headroom(slots, gang_slots) || has_unstored_outcome(machine) {
+            return;
+        }
+        self.headroom_slots -= slots;
+        if let Some(gang_headroom) = &mut self.gang_headroom {
+            gang_headroom.release(gang_slots);
         }
+        machine.set_lifecycle(Lifecycle::Terminating);
+    }
+
+    /// How long an idle machine is kept: to provision it again would cost a boot.
+    fn idle_retention_ms(&self, machine: &Machine) -> u64 {
+        let boot_s = self
+            .machine_type_of(machine)
+            .map_or(0.0, |machine_type| machine_type.boot_s);
+        (boot_s * self.idle_retention_boots * 1e3) as u64
     }
 
-    /// How many usual urgent tasks the machine takes when empty.
+    /// Whether so many slots for urgent services, or for a gang, would be missed.
+    fn is_headroom(&self, slots: f64, gang_slots: u32) -> bool {
+        let urgent_would_miss = self.headroom_slots - slots < self.wanted_headroom_slots;
+        let gang_would_miss = self
+            .gang_headroom
+            .as_ref()
+            .is_some_and(|gang_headroom| gang_headroom.is_short_without(gang_slots));
+        slots > 0.0 && urgent_would_miss || gang_slots > 0 && gang_would_miss
+    }
+
+    /// How many reference tasks the machine takes when empty.
     fn reference_task_slots(&self, machine: &Machine) -> f64 {
-        match (&self.reference_task, machine.spot) {
-            (Some(spec), false) => self
-                .machine_type_of(machine)
-                .map_or(0.0, |t| f64::from(slots_on_empty_machine(t, spec))),
+        match (&self.reference_task, self.machine_type_of(machine)) {
+            (Some(spec), Some(machine_type)) if !machine.spot => {
+                f64::from(slots_on_empty_machine(machine_type, spec))
+            }
             _ => 0.0,
         }
     }
-}
 
-impl AutoscalerTurn<'_> {
-    /// Marks for deletion the machines that are idle or never came up.
-    pub(super) fn scale_in_idle(&mut self, context: &LeaderContext) {
-        let mut returning = ScaleInReview {
-            now: context.now.monotonic_ms,
-            headroom_slots: self.headroom_slots(context, false),
-            wanted_headroom_slots: self.wanted_headroom_slots(context),
-            reference_task: self.autoscaler.reference_task.clone(),
-            machine_types: self.cluster.catalog.machine_types.clone(),
-            idle_boots: context.settings.tuning.idle_retention_boots,
-            silence_limit_ms: (context.settings.worker_lease_s * 3e3) as u64,
-            gang_headroom: self.gang_headroom(context),
-        };
-        self.cluster
-            .machines
-            .edit_all(|m| returning.review_machine(m));
+    /// How many slots of the gang headroom are on the machine.
+    fn gang_slots(&self, machine: &Machine) -> u32 {
+        self.gang_headroom.as_ref().map_or(0, |gang_headroom| {
+            gang_headroom.slots_on(machine, &self.machine_types)
+        })
     }
 
-    /// Asks the cloud to delete the machines marked for it, again where no answer came.
-    pub(super) fn terminate_machines(&mut self, context: &mut LeaderContext) {
-        let now = context.now.monotonic_ms;
-        let again = CLOUD_TIMEOUT_MS + CLOUD_RETRY_BACKOFF_MS;
-        let ids: Vec<String> = self
-            .cluster
-            .machines
-            .terminating()
-            .filter(|m| m.last_delete_sent_at == 0 || now >= m.last_delete_sent_at + again)
-            .map(|m| m.id.clone())
-            .take(MAX_MACHINES_PER_DELETE)
-            .collect();
-        if ids.is_empty() || !self.try_take_cloud_call(now) {
-            return;
-        }
-        for id in &ids {
-            if let Some(mut m) = self.cluster.machines.edit(id) {
-                m.last_delete_sent_at = now;
-            }
-        }
-        let body = encode(&MachineIds {
-            machine_ids: ids.clone(),
-        });
-        context.call_cloud(
-            AutoscalerCall::Terminate(ids),
-            "POST",
-            "/hosts/delete",
-            body,
-        );
+    fn machine_type_of(&self, machine: &Machine) -> Option<&MachineType> {
+        self.machine_types
+            .iter()
+            .find(|machine_type| machine_type.name == machine.machine_type)
     }
 }
+
+/// Whether a task exited there whose outcome is not stored yet.
+fn has_unstored_outcome(machine: &Machine) -> bool {
+    machine.placements.iter().any(|placement| {
+        matches!(
+            placement.phase,
+            Phase::Exited {
+                outcome_stored: false,
+                ..
+            }
+        )
+    })
+}
