--- a/crates/control/src/autoscaler/capacity.rs
+++ b/crates/control/src/autoscaler/capacity.rs
@@ -6,6 +6,9 @@
 
 /// More tasks than this are not counted on one machine.
 const MAX_SLOTS: f64 = 1e6;
+/// A task that takes less CPU or memory is counted as taking this much where capacity is divided
+/// by it.
+pub(super) const MIN_TASK_SIZE: f64 = 0.01;
 
 /// The capacity of one machine that is up or on its way.
 pub(super) struct MachineCapacity {
--- a/crates/control/src/autoscaler/deadline_sizing.rs
+++ b/crates/control/src/autoscaler/deadline_sizing.rs
@@ -1,6 +1,6 @@
 //! Sizing for work with deadlines: what the machines at hand can do by each deadline, and what is
 //! still to come.
-use super::capacity::MachineCapacity;
+use super::capacity::{MachineCapacity, MIN_TASK_SIZE};
 use super::demand::DeadlineDemand;
 use super::sizing_plan::SizingPlan;
 use super::view::AutoscalerView;
@@ -14,8 +14,6 @@
 const REMAINING_RUN_FRACTION: f64 = 0.5;
 /// The part of a run that must fit in before the deadline for CPUs to be of use.
 const LAST_RUN_FRACTION: f64 = 0.5;
-/// Tasks with fewer CPUs are counted as taking this many.
-const MIN_TASK_CPUS: f64 = 0.01;
 
 /// CPUs that work with deadlines may use.
 struct CpuSupply {
@@ -55,7 +53,7 @@
         }
         let missing_cpus =
             (missing_cpu_s / usable_s(boot_s).max(1.0)).min(demand.tasks as f64 * task_cpus);
-        let missing_tasks = (missing_cpus / task_cpus.max(MIN_TASK_CPUS)).ceil() as usize;
+        let missing_tasks = (missing_cpus / task_cpus.max(MIN_TASK_SIZE)).ceil() as usize;
         plan.provision_new(&demand.spec, missing_tasks.min(demand.tasks));
         supplies.push(CpuSupply {
             cpus: missing_tasks as f64 * task_cpus,
--- a/crates/control/src/autoscaler/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -1,6 +1,6 @@
 //! Demand: the pending tasks that machines may be provisioned for.
 use super::available_capacity::AvailableCapacity;
-use super::capacity::{allows_machine, slots_in, MachineCapacity};
+use super::capacity::{allows_machine, slots_in, MachineCapacity, MIN_TASK_SIZE};
 use super::view::AutoscalerView;
 use crate::cluster::{JobState, Lifecycle};
 use crate::context::LeaderContext;
@@ -11,8 +11,6 @@
 
 /// Tasks with a shorter estimated run time are counted as running this long, s.
 const MIN_RUN_S: f64 = 1.0;
-/// Tasks with fewer CPUs are counted as taking this many.
-const MIN_TASK_CPUS: f64 = 0.01;
 
 /// Tasks without a deadline that want capacity now.
 pub(super) struct DeadlineFreeDemand {
@@ -102,7 +100,7 @@
     };
     let used_cpus = view.cluster.machines.team_usage(&spec.team).0;
     let free_cpus = (team.limit_cpus - used_cpus).max(0.0);
-    Some(waiting.min((free_cpus / spec.cpus.max(MIN_TASK_CPUS)) as usize))
+    Some(waiting.min((free_cpus / spec.cpus.max(MIN_TASK_SIZE)) as usize))
 }
 
 /// Whether no single machine will ever have the capacity for a task of the job, so that all the
--- a/crates/control/src/autoscaler/gang_headroom.rs
+++ b/crates/control/src/autoscaler/gang_headroom.rs
@@ -40,16 +40,12 @@
     }
 
     /// Slots that would be lost with an idle machine.
-    pub(super) fn slots_on(&self, machine: &Machine, machine_types: &[MachineType]) -> u32 {
-        if machine.zone != self.zone || !allows_machine(&self.spec, machine) {
-            return 0;
+    pub(super) fn slots_on(&self, machine: &Machine, machine_type: &MachineType) -> u32 {
+        if machine.zone == self.zone && allows_machine(&self.spec, machine) {
+            slots_on_empty_machine(machine_type, &self.spec)
+        } else {
+            0
         }
-        machine_types
-            .iter()
-            .find(|machine_type| machine_type.name == machine.machine_type)
-            .map_or(0, |machine_type| {
-                slots_on_empty_machine(machine_type, &self.spec)
-            })
     }
 
     /// Whether the gang would lack capacity without so many of the slots.
--- a/crates/control/src/autoscaler/headroom.rs
+++ b/crates/control/src/autoscaler/headroom.rs
@@ -1,15 +1,12 @@
 //! Headroom for urgent services: how many slots there are, and how many are kept. A slot is the
 //! capacity for one task of the latest urgent service, the reference task.
-use super::capacity::slots_on_empty_machine;
+use super::capacity::{slots_on_empty_machine, MIN_TASK_SIZE};
 use super::view::AutoscalerView;
 use crate::cluster::{Lifecycle, Machine};
 use crate::resources::Resources;
 use stonegw_constants::{HEADROOM_BOOT_LATE_MULTIPLE, RESOURCE_EPSILON, URGENT_ARRIVAL_WINDOW_MS};
 use stonegw_wire::msg::{JobSpec, MachineType};
 
-/// A reference task that takes less is counted as taking this much.
-const MIN_TASK_SIZE: f64 = 0.01;
-
 /// Which machines count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadroomScope {
--- a/crates/control/src/autoscaler/scale_in.rs
+++ b/crates/control/src/autoscaler/scale_in.rs
@@ -125,9 +125,12 @@
 
     /// How many slots of the gang headroom are on the machine.
     fn gang_slots(&self, machine: &Machine) -> u32 {
-        self.gang_headroom.as_ref().map_or(0, |gang_headroom| {
-            gang_headroom.slots_on(machine, &self.machine_types)
-        })
+        match (&self.gang_headroom, self.machine_type_of(machine)) {
+            (Some(gang_headroom), Some(machine_type)) => {
+                gang_headroom.slots_on(machine, machine_type)
+            }
+            _ => 0,
+        }
     }
 
     fn machine_type_of(&self, machine: &Machine) -> Option<&MachineType> {
