--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -6,114 +6,126 @@
 use stonegw_constants::RESOURCE_EPSILON;
 use stonegw_wire::msg::{JobSpec, Priority};
 
-/// Fetches at the same time share the rate.
-pub(crate) fn image_fetch_s_per_gb(m: &Machine, rate: f64) -> f64 {
-    let fetching = m.placements.iter().any(|p| p.phase == Phase::Fetching);
-    let share = if fetching { 2.0 } else { 1.0 };
-    share / rate.max(0.01)
+/// Seconds that one more image fetch takes per GB: fetches at the same time share the rate.
+pub(crate) fn image_fetch_s_per_gb(machine: &Machine, fetch_gb_per_s: f64) -> f64 {
+    let mut placements = machine.placements.iter();
+    let is_fetching = placements.any(|placement| placement.phase == Phase::Fetching);
+    let share = if is_fetching { 2.0 } else { 1.0 };
+    share / fetch_gb_per_s.max(0.01)
+}
+
+/// CPUs and accelerators that the other tasks of a gang take beside one of them.
+fn usage_of_other_members(gang_job: &JobState) -> (f64, f64) {
+    let spec = &gang_job.spec;
+    let others = f64::from(spec.task_count.saturating_sub(1));
+    (others * spec.cpus, others * spec.gpus)
 }
 
 impl ClusterState {
     /// Whether a machine takes new tasks at all.
-    pub(crate) fn accepts_tasks(&self, context: &LeaderContext, m: &Machine) -> bool {
-        m.lifecycle == Lifecycle::Ready
-            && !m.is_silent(
-                context.now.monotonic_ms,
-                context.settings.heartbeat_interval_s,
-            )
-            && m.under_current_term
-            && !m.via_store
-            && m.is_trusted()
-            && context.now.monotonic_ms >= m.full_until
+    pub(crate) fn accepts_tasks(&self, context: &LeaderContext, machine: &Machine) -> bool {
+        let now = context.now.monotonic_ms;
+        machine.lifecycle == Lifecycle::Ready
+            && !machine.is_silent(now, context.settings.heartbeat_interval_s)
+            && machine.under_current_term
+            && !machine.via_store
+            && machine.is_trusted()
+            && now >= machine.full_until
     }
 
-    /// Whether a task of this job may go to that machine, which is open, room aside.
-    pub(crate) fn meets_constraints(&self, m: &Machine, w: &JobState) -> bool {
-        let spec = &w.spec;
-        (!m.spot || spec.allows_spot)
+    /// Whether the job's constraints allow the machine, whatever its state and free capacity.
+    pub(crate) fn meets_constraints(&self, machine: &Machine, job: &JobState) -> bool {
+        let spec = &job.spec;
+        (!machine.spot || spec.allows_spot)
             && spec
                 .machine_types
                 .as_ref()
-                .is_none_or(|t| t.contains(&m.machine_type))
-            && !w.failures.avoids(&m.id)
-            && zone_allows(&self.machines, w, &m.zone)
-            && self.group_record_has_capacity(m, &spec.id)
+                .is_none_or(|allowed| allowed.contains(&machine.machine_type))
+            && !job.failures.avoids(&machine.id)
+            && zone_allows(&self.machines, job, &machine.zone)
+            && self.group_record_has_capacity(machine, &spec.id)
     }
 
-    /// Whether a task of this job may go to that machine now, room aside.
-    pub fn is_eligible(&self, context: &LeaderContext, m: &Machine, w: &JobState) -> bool {
-        self.accepts_tasks(context, m) && self.meets_constraints(m, w)
+    /// Whether a task of the job may go to the machine now, whatever its free capacity.
+    pub fn is_eligible(&self, context: &LeaderContext, machine: &Machine, job: &JobState) -> bool {
+        self.accepts_tasks(context, machine) && self.meets_constraints(machine, job)
     }
 
-    /// Whether the machine has room for one more task.
-    pub fn has_capacity(&self, m: &Machine, spec: &JobSpec) -> bool {
-        let free = self.free_resources(m);
+    /// Whether the machine has capacity for one more task.
+    pub fn has_capacity(&self, machine: &Machine, spec: &JobSpec) -> bool {
+        let free = self.free_resources(machine);
         free.is_some_and(|free| free.has_capacity_for(&Resources::of_task(spec)))
     }
 
-    /// Whether one more task keeps its team within so many CPUs and cards, besides `extra`.
+    /// Whether one more task keeps its team within so many CPUs and accelerators, besides `extra`.
     pub(crate) fn team_usage_within(
         &self,
         spec: &JobSpec,
-        most: Option<(f64, f64)>,
+        max: Option<(f64, f64)>,
         extra: (f64, f64),
     ) -> bool {
-        let (c, g) = self.machines.team_usage(&spec.team);
-        most.is_some_and(|most| {
-            c + extra.0 + spec.cpus <= most.0 + RESOURCE_EPSILON
-                && g + extra.1 + spec.gpus <= most.1 + RESOURCE_EPSILON
+        let (used_cpus, used_gpus) = self.machines.team_usage(&spec.team);
+        let (extra_cpus, extra_gpus) = extra;
+        max.is_some_and(|(max_cpus, max_gpus)| {
+            used_cpus + extra_cpus + spec.cpus <= max_cpus + RESOURCE_EPSILON
+                && used_gpus + extra_gpus + spec.gpus <= max_gpus + RESOURCE_EPSILON
         })
     }
 
-    /// Whether the team's limit leaves room for one more task, besides `extra` CPUs and cards.
+    /// Whether one more task keeps its team within its limit, besides `extra` CPUs and
+    /// accelerators.
     pub fn within_limit(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
         let team = context.settings.team(&spec.team);
-        self.team_usage_within(spec, team.map(|t| (t.limit_cpus, t.limit_gpus)), extra)
+        let limit = team.map(|team| (team.limit_cpus, team.limit_gpus));
+        self.team_usage_within(spec, limit, extra)
     }
 
-    /// Whether one more task stays within the team's guarantee.
+    /// Whether one more task keeps its team within its quota, besides `extra` CPUs and
+    /// accelerators.
     pub fn within_quota(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
         let team = context.settings.team(&spec.team);
-        self.team_usage_within(spec, team.map(|t| (t.quota_cpus, t.quota_gpus)), extra)
+        let quota = team.map(|team| (team.quota_cpus, team.quota_gpus));
+        self.team_usage_within(spec, quota, extra)
     }
 
-    /// Machines with any room: looked for once, not for each task.
+    /// Machines that take new tasks and have any capacity: looked up once, not for each task.
     pub fn machines_with_capacity(&self, context: &LeaderContext) -> Vec<String> {
-        let open = self
-            .machines
+        let has_free_cpus = |machine: &Machine| {
+            self.machine_type(&machine.machine_type)
+                .is_some_and(|t| machine.free_resources(t).0 > RESOURCE_EPSILON)
+        };
+        self.machines
             .values()
-            .filter(|m| self.accepts_tasks(context, m));
-        open.filter(|m| {
-            self.machine_type(&m.machine_type)
-                .is_some_and(|t| m.free_resources(t).0 > RESOURCE_EPSILON)
-        })
-        .map(|m| m.id.clone())
-        .collect()
+            .filter(|machine| self.accepts_tasks(context, machine))
+            .filter(|machine| has_free_cpus(machine))
+            .map(|machine| machine.id.clone())
+            .collect()
     }
 
     /// Seconds that fetching the job's image takes there.
-    pub fn image_fetch_s(&self, m: &Machine, spec: &JobSpec) -> f64 {
-        if m.has_image(&spec.image) {
+    pub fn image_fetch_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
+        if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let rate = self
-            .machine_type(&m.machine_type)
+        let fetch_gb_per_s = self
+            .machine_type(&machine.machine_type)
             .map_or(1.0, |t| t.fetch_gb_per_s);
-        image_fetch_s_per_gb(m, rate) * spec.image_size_gb
+        image_fetch_s_per_gb(machine, fetch_gb_per_s) * spec.image_size_gb
     }
 
-    /// First fit: the soonest start, then the cheaper machine, then the tighter fit.
-    pub fn first_fit_key(&self, m: &Machine, spec: &JobSpec) -> (i64, i64, i64) {
-        let kind = self.machine_type(&m.machine_type);
-        let free = kind.map_or(0.0, |t| m.free_resources(t).0);
-        let price = kind.map_or(0.0, |t| t.price_per_cpu(m.spot));
-        let fetch = self.image_fetch_s(m, spec).round() as i64;
-        (fetch, (price * 1e4) as i64, (free * 100.0) as i64)
+    /// The order of first fit: the soonest start, then the cheaper machine, then the tighter fit.
+    pub fn first_fit_key(&self, machine: &Machine, spec: &JobSpec) -> (i64, i64, i64) {
+        let machine_type = self.machine_type(&machine.machine_type);
+        let free_cpus = machine_type.map_or(0.0, |t| machine.free_resources(t).0);
+        let price = machine_type.map_or(0.0, |t| t.price_per_cpu(machine.spot));
+        let fetch_s = self.image_fetch_s(machine, spec).round() as i64;
+        (fetch_s, (price * 1e4) as i64, (free_cpus * 100.0) as i64)
     }
 
-    /// What is free on a machine.
-    pub(crate) fn free_resources(&self, m: &Machine) -> Option<Resources> {
-        let (cpus, gpus, memory_gb) = m.free_resources(self.machine_type(&m.machine_type)?);
+    /// What is free on a machine; `None` if the catalogue lacks its type.
+    pub(crate) fn free_resources(&self, machine: &Machine) -> Option<Resources> {
+        let machine_type = self.machine_type(&machine.machine_type)?;
+        let (cpus, gpus, memory_gb) = machine.free_resources(machine_type);
         Some(Resources {
             cpus,
             gpus,
@@ -121,38 +133,43 @@
         })
     }
 
-    /// Whether the team's limit leaves room for all tasks of the gang.
-    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let others = f64::from(work.spec.task_count.saturating_sub(1));
-        let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_limit(context, &work.spec, extra)
+    /// Whether all tasks of the gang keep their team within its limit.
+    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, job: &JobState) -> bool {
+        self.within_limit(context, &job.spec, usage_of_other_members(job))
     }
 
-    /// Whether all tasks of the gang stay within their team's guarantee.
-    pub(crate) fn gang_within_quota(&self, context: &LeaderContext, work: &JobState) -> bool {
-        let others = f64::from(work.spec.task_count.saturating_sub(1));
-        let extra = (others * work.spec.cpus, others * work.spec.gpus);
-        self.within_quota(context, &work.spec, extra)
+    /// Whether all tasks of the gang keep their team within its quota.
+    pub(crate) fn gang_within_quota(&self, context: &LeaderContext, job: &JobState) -> bool {
+        self.within_quota(context, &job.spec, usage_of_other_members(job))
     }
 
-    /// Gangs that wait, those of the highest rank first, then the longest accepted.
+    /// Gangs that wait, those of the highest priority first, then the longest accepted.
     pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
-        let waits = |w: &JobState| w.is_gang_waiting() && context.now.monotonic_ms >= w.retry_at;
-        let waiting = self.jobs.iter().filter(|(_, w)| waits(w));
-        let mut order: Vec<(Reverse<Priority>, u64, &String)> = waiting
-            .map(|(id, w)| (Reverse(w.spec.priority), w.submitted_at_ms, id))
+        let now = context.now.monotonic_ms;
+        let mut order: Vec<(Reverse<Priority>, u64, &String)> = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.is_gang_waiting() && now >= job.retry_at)
+            .map(|(id, job)| (Reverse(job.spec.priority), job.submitted_at_ms, id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, id)| id.clone()).collect()
     }
 
-    /// What urgent work takes of a machine, which does not end by itself.
-    pub fn urgent_usage(&self, m: &Machine) -> (f64, f64, f64) {
-        let urgent = |job: &str| self.jobs.get(job).is_some_and(JobState::is_urgent);
-        let stay = m.placements.iter();
-        let stay = stay.filter(|p| p.is_present() && urgent(&p.job));
-        stay.fold((0.0, 0.0, 0.0), |(c, g, mem), p| {
-            (c + p.cpus, g + p.gpus, mem + p.memory_gb)
-        })
+    /// CPUs, accelerators and memory that urgent tasks take of a machine: they don't end by
+    /// themselves.
+    pub fn urgent_usage(&self, machine: &Machine) -> (f64, f64, f64) {
+        let is_urgent = |job_id: &str| self.jobs.get(job_id).is_some_and(JobState::is_urgent);
+        machine
+            .placements
+            .iter()
+            .filter(|placement| placement.is_present() && is_urgent(&placement.job))
+            .fold((0.0, 0.0, 0.0), |(cpus, gpus, memory_gb), placement| {
+                (
+                    cpus + placement.cpus,
+                    gpus + placement.gpus,
+                    memory_gb + placement.memory_gb,
+                )
+            })
     }
 }
--- a/crates/control/src/cluster/failures.rs
+++ b/crates/control/src/cluster/failures.rs
@@ -25,8 +25,8 @@
         self.failed_machines.insert(machine.to_owned());
     }
 
-    /// One more round failed. Returns how long to wait for the next: twice as long each time, up to a
-    /// limit, and shortened by chance, so that jobs that failed together don't come back together.
+    /// One more round failed. Returns how long to wait for the next: an exponential backoff up to a
+    /// limit, with jitter, so that jobs that failed together don't retry together.
     pub fn next_backoff_ms(&mut self, rng: &mut SmallRng) -> Millis {
         self.failed_rounds += 1;
         let doublings = self.failed_rounds.min(START_BACKOFF_MAX_DOUBLINGS);
--- a/crates/control/src/cluster/machine.rs
+++ b/crates/control/src/cluster/machine.rs
@@ -1,46 +1,31 @@
-//! One machine: its life, how well it is reached, and the tasks on it.
+//! One machine: its lifecycle, what its worker and the cloud say of it, and the tasks on it.
+use super::command_channel::CommandChannel;
+use super::usage_account::UsageAccount;
 use super::usage_totals::AccountedUsage;
 use super::{Phase, Placement};
 use crate::api::Millis;
 use crate::pause::Pause;
 use std::collections::{BTreeSet, VecDeque};
-use stonegw_constants::{SILENT_HEARTBEAT_INTERVALS, UNREACHABLE_MISSES};
+use stonegw_constants::SILENT_HEARTBEAT_INTERVALS;
 use stonegw_wire::msg::MachineType;
 
-/// How far a machine is between its rental and its return.
+/// How far a machine is between its provisioning and its termination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Rented, not heard from.
+    /// Requested from the cloud; no heartbeat yet.
     Provisioning,
-    /// Heard from; may get tasks.
+    /// Sends heartbeats; may get tasks.
     Ready,
-    /// Gets nothing new: notice, faults, or too many leftovers.
+    /// Gets nothing new: the cloud takes it back, it is faulty, or there are too many machines.
     Draining,
-    /// A delete has been or will be asked for.
+    /// Its deletion has been or will be requested.
     Terminating,
 }
 
-/// Whether what we say reaches a machine that we hear.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reachability {
-    /// Everything we send has its effect.
-    Reachable,
-    /// So many answers or commands in a row had no effect.
-    Suspected {
-        /// How many.
-        undelivered: u32,
-    },
-    /// It hears nothing.
-    Unreachable {
-        /// Found to be so at.
-        since: Millis,
-    },
-}
-
 /// What the leader holds about one machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name at the cloud.
+    /// Its id at the cloud.
     pub id: String,
     /// Where its worker listens, if known.
     pub addr: Option<String>,
@@ -48,77 +33,65 @@
     pub machine_type: String,
     /// The zone it is in.
     pub zone: String,
-    /// Rented as a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// How far it is between rental and return.
+    /// How far it is between provisioning and termination.
     pub lifecycle: Lifecycle,
-    /// The worker's session, as last reported.
+    /// The worker's incarnation, as of its newest heartbeat.
     pub incarnation: u64,
-    /// The highest sequence number of a report in this session.
+    /// The sequence number of the newest heartbeat of this incarnation.
     pub sequence: u64,
-    /// When it was last heard.
+    /// When its newest heartbeat arrived.
     pub last_heartbeat_at: Option<Millis>,
-    /// Last heard through the state service: commands don't reach it.
+    /// Its newest heartbeat was relayed through the store: commands don't reach it.
     pub via_store: bool,
-    /// The last report was made under our token.
+    /// The worker has seen our term: its newest heartbeat carries our fencing token.
     pub under_current_term: bool,
-    /// Whether what we say reaches it.
-    pub reachability: Reachability,
-    /// Not asked anew whether it hears us before.
-    pub next_probe_at: Millis,
-    /// Reports answered since its last silence.
-    pub answered_heartbeats: u32,
+    /// Whether and how commands reach it.
+    pub commands: CommandChannel,
     /// When this leader first knew of it.
     pub known_since: Millis,
-    /// Rented at, as far as we know.
+    /// Provisioned at, as far as we know.
     pub provisioned_at: Millis,
-    /// Some list of the cloud had it.
+    /// Some listing of the cloud had it.
     pub was_listed: bool,
-    /// The last list called it running.
+    /// The last listing called it running.
     pub listed_as_running: bool,
-    /// Lists without it since it was listed or heard.
+    /// Listings without it since its last heartbeat or listing.
     pub absent_listings: u32,
-    /// Taken away by the cloud at.
+    /// When the cloud takes it back, if that was announced.
     pub eviction_at: Option<Millis>,
-    /// Its tasks, until what follows from their end is stored.
+    /// Its tasks, until the outcome of each is stored.
     pub placements: Vec<Placement>,
-    /// Tasks held for room freeing next.
+    /// Tasks queued for the capacity that frees next: job and task number.
     pub queued: Vec<(String, u32)>,
-    /// The record that tells of it.
+    /// The number of the machine group whose record holds its placements.
     pub machine_group: Option<u32>,
     /// A predecessor left tasks here.
     pub loaded_from_store: bool,
-    /// A direct command is unanswered.
-    pub command_in_flight: Option<u64>,
-    /// A direct command with a `run` was given up in this session: it may still arrive.
-    pub command_unanswered: bool,
-    /// Images fetched, most recent last.
+    /// Images in its cache with their sizes in GB, most recently used last.
     pub cached_images: VecDeque<(String, f64)>,
     /// Jobs whose tasks failed here.
     pub failed_jobs: BTreeSet<String>,
-    /// It refused a task for want of room: gets nothing new before.
+    /// It refused a task for want of capacity: it gets nothing new before.
     pub full_until: Millis,
     /// Without any task since.
     pub idle_since: Option<Millis>,
-    /// When its deletion was last asked for; 0 for never.
+    /// When its deletion was last requested; 0 for never.
     pub last_delete_sent_at: Millis,
-    /// CPU-milliseconds its tasks ran; for the log.
-    pub run_cpu_ms: f64,
-    /// The same for tasks that fetched their images.
-    pub fetch_cpu_ms: f64,
-    /// When it was first heard.
-    pub first_heartbeat_at: Option<Millis>,
-    /// What the sums hold of it.
+    /// What its time was spent on.
+    pub usage_account: UsageAccount,
+    /// What the totals hold of it.
     pub(super) accounted_usage: AccountedUsage,
 }
 
 impl Machine {
-    /// A machine just rented or found, without tasks.
-    pub fn new(id: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Machine {
+    /// A machine just provisioned or found, without tasks.
+    pub fn new(id: &str, machine_type: &str, zone: &str, spot: bool, now: Millis) -> Machine {
         Machine {
             id: id.into(),
             addr: None,
-            machine_type: kind.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             lifecycle: Lifecycle::Provisioning,
@@ -127,9 +100,7 @@
             last_heartbeat_at: None,
             via_store: false,
             under_current_term: false,
-            reachability: Reachability::Reachable,
-            next_probe_at: 0,
-            answered_heartbeats: 0,
+            commands: CommandChannel::default(),
             known_since: now,
             provisioned_at: now,
             was_listed: false,
@@ -140,21 +111,17 @@
             queued: vec![],
             machine_group: None,
             loaded_from_store: false,
-            command_in_flight: None,
-            command_unanswered: false,
             cached_images: VecDeque::new(),
             failed_jobs: BTreeSet::new(),
             full_until: 0,
             idle_since: None,
             last_delete_sent_at: 0,
-            run_cpu_ms: 0.0,
-            fetch_cpu_ms: 0.0,
-            first_heartbeat_at: None,
+            usage_account: UsageAccount::default(),
             accounted_usage: AccountedUsage::default(),
         }
     }
 
-    /// Moves it to another stage of its life and logs the change.
+    /// Moves it to another stage of its lifecycle and logs the change.
     pub fn set_lifecycle(&mut self, to: Lifecycle) {
         if self.lifecycle != to {
             log::info!("machine {} {:?} -> {:?}", self.id, self.lifecycle, to);
@@ -162,39 +129,8 @@
         }
     }
 
-    fn set_reachability(&mut self, to: Reachability) {
-        if self.reachability != to {
-            log::debug!("machine {} {:?} -> {:?}", self.id, self.reachability, to);
-            self.reachability = to;
-        }
-    }
-
-    /// Something we sent had its effect.
-    pub fn record_delivered(&mut self) {
-        self.set_reachability(Reachability::Reachable);
-    }
-
-    /// What we sent had no effect, once more.
-    pub fn record_undelivered(&mut self, now: Millis) {
-        let misses = match self.reachability {
-            Reachability::Reachable => 1,
-            Reachability::Suspected {
-                undelivered: misses,
-            } => misses + 1,
-            Reachability::Unreachable { .. } => return,
-        };
-        if misses >= UNREACHABLE_MISSES {
-            log::warn!("machine {} is heard but does not hear us", self.id);
-            self.set_reachability(Reachability::Unreachable { since: now });
-        } else {
-            self.set_reachability(Reachability::Suspected {
-                undelivered: misses,
-            });
-        }
-    }
-
-    /// Its node ran again after a pause: its silence, its boot and its idleness are timed anew, and how long
-    /// its present tasks run is not known.
+    /// The leader's process ran again after a pause: the machine's silence, boot and idleness are
+    /// timed anew, and how long its present tasks run is not known.
     pub fn resume(&mut self, pause: Pause) {
         if let Some(at) = &mut self.last_heartbeat_at {
             *at = pause.now;
@@ -203,113 +139,98 @@
             pause.shift(at);
         }
         pause.shift_if_set(&mut self.idle_since);
-        if let Reachability::Unreachable { since } = &mut self.reachability {
-            *since = pause.now;
-        }
-        for p in &mut self.placements {
-            p.run_time_unknown = true;
-            pause.shift_if_set(&mut p.exited_at);
+        self.commands.resume(pause.now);
+        for placement in &mut self.placements {
+            placement.run_time_unknown = true;
+            pause.shift_if_set(&mut placement.exited_at);
         }
     }
 
-    /// Whether it hears nothing we send.
+    /// Whether nothing we send to it has any effect.
     pub fn is_unreachable(&self) -> bool {
-        matches!(self.reachability, Reachability::Unreachable { .. })
+        self.commands.is_unreachable()
     }
 
     /// Good for new tasks: nearly all we sent lately had its effect.
     pub fn is_trusted(&self) -> bool {
-        match self.reachability {
-            Reachability::Reachable => true,
-            Reachability::Suspected {
-                undelivered: misses,
-            } => misses < UNREACHABLE_MISSES - 1,
-            Reachability::Unreachable { .. } => false,
-        }
+        self.commands.is_trusted()
     }
 
-    /// CPUs, cards and memory that its present tasks take.
+    /// CPUs, accelerators and memory that its present tasks take.
     pub fn used_resources(&self) -> (f64, f64, f64) {
         self.placements
             .iter()
-            .filter(|p| p.is_present())
-            .fold((0.0, 0.0, 0.0), |(c, g, m), p| {
-                (c + p.cpus, g + p.gpus, m + p.memory_gb)
+            .filter(|placement| placement.is_present())
+            .fold((0.0, 0.0, 0.0), |(cpus, gpus, memory_gb), placement| {
+                (
+                    cpus + placement.cpus,
+                    gpus + placement.gpus,
+                    memory_gb + placement.memory_gb,
+                )
             })
     }
 
-    /// CPUs, cards and memory that its present tasks leave free.
-    pub fn free_resources(&self, kind: &MachineType) -> (f64, f64, f64) {
-        let (c, g, m) = self.used_resources();
-        (kind.cpus - c, kind.gpus - g, kind.memory_gb - m)
+    /// CPUs, accelerators and memory that its present tasks leave free.
+    pub fn free_resources(&self, machine_type: &MachineType) -> (f64, f64, f64) {
+        let (cpus, gpus, memory_gb) = self.used_resources();
+        (
+            machine_type.cpus - cpus,
+            machine_type.gpus - gpus,
+            machine_type.memory_gb - memory_gb,
+        )
     }
 
-    /// Adds up what its tasks used since it was last heard.
+    /// Adds up what its tasks used since its last heartbeat.
     pub fn accumulate_usage(&mut self, now: Millis) {
-        let dt = now.saturating_sub(self.last_heartbeat_at.unwrap_or(now)) as f64;
-        for p in &self.placements {
-            match p.phase {
-                Phase::Running | Phase::Checkpointing => self.run_cpu_ms += p.cpus * dt,
-                Phase::Fetching | Phase::WaitingForGang => self.fetch_cpu_ms += p.cpus * dt,
-                _ => {}
-            }
-        }
-        self.first_heartbeat_at.get_or_insert(now);
+        let elapsed_ms = now.saturating_sub(self.last_heartbeat_at.unwrap_or(now)) as f64;
+        self.usage_account.add(&self.placements, elapsed_ms, now);
     }
 
-    /// What became of the money spent on it, for the log.
+    /// What its time, and so the money spent on it, went to; for the log.
     pub fn describe_usage(&self, now: Millis, cpus: f64) -> String {
-        let s = |ms: u64| ms as f64 / 1e3;
-        let boot = self
-            .first_heartbeat_at
-            .map_or(now, |u| u)
-            .saturating_sub(self.provisioned_at);
-        let up = self.first_heartbeat_at.map_or(0, |u| now.saturating_sub(u));
-        let part = |x: f64| x / (cpus * up as f64).max(1.0);
-        format!(
-            "{} {} boot {:.0} s, up {:.0} s, ran {:.2}, fetched {:.2}",
-            self.machine_type,
-            if self.spot { "spot" } else { "ordinary" },
-            s(boot),
-            s(up),
-            part(self.run_cpu_ms),
-            part(self.fetch_cpu_ms)
-        )
+        let market = if self.spot { "spot" } else { "ordinary" };
+        let usage = self.usage_account.describe(self.provisioned_at, now, cpus);
+        format!("{} {market} {usage}", self.machine_type)
     }
 
-    /// Whether no task is on it or held for it.
+    /// Whether no task is on it or queued for it.
     pub fn is_idle(&self) -> bool {
         self.queued.is_empty() && !self.placements.iter().any(Placement::is_present)
     }
 
     /// Whether its cache should hold the image.
     pub fn has_image(&self, image: &str) -> bool {
-        self.cached_images.iter().any(|(i, _)| i == image)
+        self.cached_images.iter().any(|(cached, _)| cached == image)
     }
 
     /// Remembers what the worker's cache holds: the most recently used images that fit.
-    pub fn record_image_use(&mut self, image: &str, gb: f64, cache_gb: f64) {
-        self.cached_images.retain(|(i, _)| i != image);
-        self.cached_images.push_back((image.into(), gb));
-        let mut sum: f64 = self.cached_images.iter().map(|(_, g)| g).sum();
-        while sum > cache_gb && self.cached_images.len() > 1 {
-            sum -= self.cached_images.pop_front().map_or(0.0, |(_, g)| g);
+    pub fn record_image_use(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
+        self.cached_images.retain(|(cached, _)| cached != image);
+        self.cached_images.push_back((image.into(), size_gb));
+        let mut total_gb: f64 = self.cached_images.iter().map(|(_, gb)| gb).sum();
+        while total_gb > cache_gb && self.cached_images.len() > 1 {
+            total_gb -= self.cached_images.pop_front().map_or(0.0, |(_, gb)| gb);
         }
     }
 
-    /// Something waits to be sent to it, time aside.
+    /// Whether a command may be due for it, whatever the time.
     pub(super) fn has_pending_commands(&self) -> bool {
-        self.placements.iter().any(|p| match p.phase {
-            Phase::Startable => p.stop_grace_s.is_none(),
-            Phase::Fetching | Phase::WaitingForGang | Phase::Running => p.stop_grace_s.is_some(),
-            _ => false,
-        })
+        self.placements
+            .iter()
+            .any(|placement| match placement.phase {
+                Phase::Startable => placement.stop_grace_s.is_none(),
+                Phase::Fetching | Phase::WaitingForGang | Phase::Running => {
+                    placement.stop_grace_s.is_some()
+                }
+                _ => false,
+            })
     }
 
-    /// Whether its reports have stayed out for too long.
-    pub fn is_silent(&self, now: Millis, report_s: f64) -> bool {
+    /// Whether its heartbeats have been missing for too long.
+    pub fn is_silent(&self, now: Millis, heartbeat_interval_s: f64) -> bool {
+        let max_silence_ms = heartbeat_interval_s * SILENT_HEARTBEAT_INTERVALS * 1e3;
         match self.last_heartbeat_at {
-            Some(at) => now.saturating_sub(at) as f64 > report_s * SILENT_HEARTBEAT_INTERVALS * 1e3,
+            Some(at) => now.saturating_sub(at) as f64 > max_silence_ms,
             None => true,
         }
     }
--- a/crates/control/src/cluster/machine_group_record.rs
+++ b/crates/control/src/cluster/machine_group_record.rs
@@ -1,42 +1,67 @@
 //! The stored form of a group of machines.
-use super::{Machines, Phase, PlacementRef};
+use super::{Machines, Phase, Placement, PlacementRef};
 use crate::records::{JobRow, MachineGroupRecord, MachineRow, TaskRow};
 use std::collections::{BTreeSet, HashMap};
 
-/// What a group's record holds now, and which attempts it holds for the first time.
-pub(crate) fn machine_group_record(
+/// What a group's record holds now.
+pub(crate) struct MachineGroupSnapshot {
+    /// The record as it is to be stored.
+    pub record: MachineGroupRecord,
+    /// The attempts that no record has held yet.
+    pub new_placements: Vec<PlacementRef>,
+}
+
+/// What the record of a group of machines holds now. Machines without tasks are not in it.
+pub(crate) fn machine_group_snapshot(
     machines: &Machines,
     group: &BTreeSet<String>,
-) -> (MachineGroupRecord, Vec<PlacementRef>) {
-    let mut out = MachineGroupRecord::default();
-    let (mut new, mut jobs) = (vec![], HashMap::new());
-    for m in group.iter().filter_map(|id| machines.get(id)) {
-        let mut rows = vec![];
-        for p in m.placements.iter().filter(|p| p.is_present()) {
-            let job = *jobs.entry(p.job.as_str()).or_insert_with(|| {
-                let team = out.teams.iter().position(|t| *t == p.team);
-                let team = team.unwrap_or_else(|| {
-                    out.teams.push(p.team.clone());
-                    out.teams.len() - 1
+) -> MachineGroupSnapshot {
+    let mut record = MachineGroupRecord::default();
+    let mut new_placements = vec![];
+    let mut job_rows = HashMap::new();
+    for machine in group.iter().filter_map(|id| machines.get(id)) {
+        let mut task_rows = vec![];
+        for placement in machine.placements.iter().filter(|p| p.is_present()) {
+            let job_row = *job_rows
+                .entry(placement.job.as_str())
+                .or_insert_with(|| add_job_row(&mut record, placement));
+            task_rows.push(TaskRow(job_row, placement.index, placement.attempt));
+            if placement.phase == Phase::Unstored {
+                new_placements.push(PlacementRef {
+                    machine: machine.id.clone(),
+                    attempt: placement.attempt,
                 });
-                out.jobs
-                    .push(JobRow(p.job.clone(), team, p.cpus, p.gpus, p.memory_gb));
-                out.jobs.len() - 1
-            });
-            rows.push(TaskRow(job, p.index, p.attempt));
-            if p.phase == Phase::Unstored {
-                new.push((m.id.clone(), p.attempt));
             }
         }
-        if !rows.is_empty() {
-            out.machines.push(MachineRow(
-                m.id.clone(),
-                m.machine_type.clone(),
-                m.zone.clone(),
-                m.spot,
-                rows,
+        if !task_rows.is_empty() {
+            record.machines.push(MachineRow(
+                machine.id.clone(),
+                machine.machine_type.clone(),
+                machine.zone.clone(),
+                machine.spot,
+                task_rows,
             ));
         }
     }
-    (out, new)
+    MachineGroupSnapshot {
+        record,
+        new_placements,
+    }
+}
+
+/// Adds the row of the placement's job, and its team if need be. Returns the row's number.
+fn add_job_row(record: &mut MachineGroupRecord, placement: &Placement) -> usize {
+    let known = record.teams.iter().position(|t| *t == placement.team);
+    let team = known.unwrap_or_else(|| {
+        record.teams.push(placement.team.clone());
+        record.teams.len() - 1
+    });
+    record.jobs.push(JobRow(
+        placement.job.clone(),
+        team,
+        placement.cpus,
+        placement.gpus,
+        placement.memory_gb,
+    ));
+    record.jobs.len() - 1
 }
--- a/crates/control/src/cluster/machine_removal.rs
+++ b/crates/control/src/cluster/machine_removal.rs
@@ -1,101 +1,118 @@
 //! What becomes of the tasks of machines that take no more work or are gone.
-use super::{ClusterState, Phase, TerminationEvidence};
+use super::{ClusterState, Phase, TaskKey, TerminationEvidence};
 use crate::api::Millis;
 
+/// Which unsent placements are withdrawn from a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum WithdrawScope {
+    /// Those that are to be stopped or whose job has ended.
+    EndedJobs,
+    /// All, and the queue as well: nothing new is to start on the machine.
+    Everything,
+}
+
 impl ClusterState {
-    /// Placements that were never sent may simply be taken back: of jobs that ended, and all
-    /// where nothing new is to start. What was sent to a machine that does not hear us is
-    /// called off.
-    pub(crate) fn withdraw_unsent(&mut self, id: &str, closing: bool) {
-        let works = &self.jobs;
-        let writing = self
+    /// Withdraws placements for which no start command has gone out: nothing has to be proven
+    /// about them. What was sent to an unreachable machine is to be stopped.
+    pub(crate) fn withdraw_unsent(&mut self, machine_id: &str, scope: WithdrawScope) {
+        let closing = scope == WithdrawScope::Everything;
+        let jobs = &self.jobs;
+        let write_in_flight = self
             .machines
-            .get(id)
-            .and_then(|m| self.machine_groups.get(&m.machine_group?))
-            .is_some_and(|s| s.stored_state.write_in_flight);
-        let Some(mut m) = self.machines.edit(id) else {
+            .get(machine_id)
+            .and_then(|machine| self.machine_groups.get(&machine.machine_group?))
+            .is_some_and(|group| group.stored_state.write_in_flight);
+        let Some(mut machine) = self.machines.edit(machine_id) else {
             return;
         };
-        let mut back = vec![];
-        m.placements.retain(|p| {
-            let unwanted = p.stop_grace_s.is_some() || !works.contains_key(&p.job) || closing;
-            let out = unwanted && p.is_unsent() && !(p.phase == Phase::Unstored && writing);
-            if out {
-                back.push((p.job.clone(), p.index));
+        let mut withdrawn = vec![];
+        machine.placements.retain(|placement| {
+            let unwanted =
+                placement.stop_grace_s.is_some() || !jobs.contains_key(&placement.job) || closing;
+            let being_stored = placement.phase == Phase::Unstored && write_in_flight;
+            let withdraw = unwanted && placement.is_unsent() && !being_stored;
+            if withdraw {
+                withdrawn.push(placement.task_key());
             }
-            !out
+            !withdraw
         });
-        let unstored = !back.is_empty();
+        let record_is_stale = !withdrawn.is_empty();
         if closing {
-            back.append(&mut m.queued);
-            if m.is_unreachable() {
-                for p in m.placements.iter_mut().filter(|p| p.phase == Phase::Sent) {
-                    p.stop_grace_s.get_or_insert(0.0);
+            let queued = std::mem::take(&mut machine.queued);
+            withdrawn.extend(
+                queued
+                    .into_iter()
+                    .map(|(job, index)| TaskKey { job, index }),
+            );
+            if machine.is_unreachable() {
+                let sent = |phase: Phase| phase == Phase::Sent;
+                for placement in machine.placements.iter_mut().filter(|p| sent(p.phase)) {
+                    placement.stop_grace_s.get_or_insert(0.0);
                 }
             }
         }
-        drop(m);
-        if unstored {
-            self.mark_group_stale(id);
-        }
-        for (job, index) in back {
-            self.requeue_task(&job, index);
+        drop(machine);
+        if record_is_stale {
+            self.mark_group_stale(machine_id);
         }
+        self.requeue_tasks(withdrawn);
     }
 
-    /// The cloud confirmed: the machine and everything on it are gone.
-    pub fn handle_machine_deleted(&mut self, now: Millis, id: &str) {
-        self.remove_terminated_placements(id, TerminationEvidence::MachineDeleted);
-        self.deleted_machines.insert(id.into(), now);
-        let Some(mut m) = self.machines.edit(id) else {
+    /// The cloud confirmed that it deleted the machine: everything on it is gone.
+    pub fn handle_machine_deleted(&mut self, now: Millis, machine_id: &str) {
+        self.remove_terminated_placements(machine_id, TerminationEvidence::MachineDeleted);
+        self.deleted_machines.insert(machine_id.into(), now);
+        let Some(mut machine) = self.machines.edit(machine_id) else {
             return;
         };
-        let held = std::mem::take(&mut m.queued);
-        let kind = m.machine_type.clone();
-        drop(m);
-        for (job, index) in held {
-            self.requeue_task(&job, index);
-        }
-        self.mark_group_stale(id);
-        let cpus = self.machine_type(&kind).map_or(1.0, |t| t.cpus);
-        if let Some(m) = self.machines.get(id) {
-            log::info!("machine {id} account: {}", m.describe_usage(now, cpus));
-            if let Some(s) = m
+        let queued = std::mem::take(&mut machine.queued);
+        let machine_type = machine.machine_type.clone();
+        drop(machine);
+        self.requeue_tasks(
+            queued
+                .into_iter()
+                .map(|(job, index)| TaskKey { job, index }),
+        );
+        self.mark_group_stale(machine_id);
+        let cpus = self.machine_type(&machine_type).map_or(1.0, |t| t.cpus);
+        if let Some(machine) = self.machines.get(machine_id) {
+            let account = machine.describe_usage(now, cpus);
+            log::info!("machine {machine_id} account: {account}");
+            let group = machine
                 .machine_group
-                .and_then(|n| self.machine_groups.get_mut(&n))
-            {
-                s.machines.remove(id);
+                .and_then(|number| self.machine_groups.get_mut(&number));
+            if let Some(group) = group {
+                group.machines.remove(machine_id);
             }
         }
-        self.machines.remove(id);
+        self.machines.remove(machine_id);
     }
 
-    /// Everything on the machine is proven gone.
-    pub(crate) fn remove_terminated_placements(&mut self, id: &str, how: TerminationEvidence) {
-        let Some(mut m) = self.machines.edit(id) else {
+    /// Removes the placements that are proven to run nowhere any more; their tasks are pending
+    /// again.
+    pub(crate) fn remove_terminated_placements(
+        &mut self,
+        machine_id: &str,
+        evidence: TerminationEvidence,
+    ) {
+        let Some(mut machine) = self.machines.edit(machine_id) else {
             return;
         };
-        let mut gone = vec![];
-        m.placements.retain(|p| {
-            if let TerminationEvidence::NewIncarnation {
-                includes_inherited: inherited_too,
-            } = how
-            {
-                if p.is_unsent() || p.inherited && !inherited_too {
+        let mut terminated = vec![];
+        machine.placements.retain(|placement| {
+            if let TerminationEvidence::NewIncarnation { includes_inherited } = evidence {
+                if placement.is_unsent() || placement.inherited && !includes_inherited {
                     return true;
                 }
             }
-            // What it finished here counts only once stored; without the worker's word for it
-            // any more, it still was finished.
-            gone.push((p.job.clone(), p.index));
+            // A task that finished here is not requeued: its job knows it as done, stored or not.
+            terminated.push(placement.task_key());
             false
         });
-        drop(m);
-        if !gone.is_empty() {
-            self.mark_group_stale(id);
-        }
-        for (job, index) in gone {
-            self.requeue_task(&job, index);
+        drop(machine);
+        if !terminated.is_empty() {
+            self.mark_group_stale(machine_id);
         }
+        self.requeue_tasks(terminated);
     }
 }
--- a/crates/control/src/cluster/machines.rs
+++ b/crates/control/src/cluster/machines.rs
@@ -1,20 +1,20 @@
-//! The set of all machines; changes go through it, so that the sums follow.
-use super::usage_totals::UsageTotals;
+//! The set of all machines; changes go through it, so that the totals follow.
+use super::usage_totals::{JobUsage, UsageTotals};
 use super::Machine;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Deref, DerefMut};
 
-/// All machines by name. Whoever changes one does so through `edit`, and the sums follow.
+/// All machines by id. Whoever changes one does so through `edit`, and the totals follow.
 #[derive(Debug, Default)]
 pub struct Machines {
     by_id: BTreeMap<String, Machine>,
     usage_totals: UsageTotals,
-    /// Machines looked at so far: what the work comes to, whatever a processor does a second.
+    /// Machines looked at so far: a measure of the work done that does not depend on the processor.
     lookups: Cell<u64>,
 }
 
-/// A machine being changed; when it goes, the sums are made right.
+/// A machine being changed; when the guard is dropped, the totals are brought up to date.
 pub struct MachineGuard<'a> {
     machine: &'a mut Machine,
     usage_totals: &'a mut UsageTotals,
@@ -40,20 +40,20 @@
 }
 
 impl Machines {
-    /// The machine of that name, to look at.
+    /// The machine of that id, to look at.
     pub fn get(&self, id: &str) -> Option<&Machine> {
         self.count_lookups(1);
         self.by_id.get(id)
     }
 
-    /// All machines, in the order of their names.
+    /// All machines, in the order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &Machine> {
         self.count_lookups(self.by_id.len());
         self.by_id.values()
     }
 
-    fn count_lookups(&self, n: usize) {
-        self.lookups.set(self.lookups.get() + n as u64);
+    fn count_lookups(&self, count: usize) {
+        self.lookups.set(self.lookups.get() + count as u64);
     }
 
     /// How many machines were looked at so far.
@@ -71,27 +71,25 @@
         self.by_id.is_empty()
     }
 
-    /// The machine of that name, to change.
+    /// The machine of that id, to change.
     pub fn edit(&mut self, id: &str) -> Option<MachineGuard<'_>> {
         self.count_lookups(1);
-        let m = self.by_id.get_mut(id)?;
-        let sums = &mut self.usage_totals;
         Some(MachineGuard {
-            machine: m,
-            usage_totals: sums,
+            machine: self.by_id.get_mut(id)?,
+            usage_totals: &mut self.usage_totals,
         })
     }
 
     /// Changes each machine in turn.
     pub fn edit_all(&mut self, mut change: impl FnMut(&mut Machine)) {
         self.count_lookups(self.by_id.len());
-        for m in self.by_id.values_mut() {
-            change(m);
-            self.usage_totals.update(m);
+        for machine in self.by_id.values_mut() {
+            change(machine);
+            self.usage_totals.update(machine);
         }
     }
 
-    /// Puts a machine in, unless it is known.
+    /// Adds a machine, unless it is known.
     pub fn add(&mut self, id: &str, new: impl FnOnce() -> Machine) {
         if !self.by_id.contains_key(id) {
             self.by_id.insert(id.to_owned(), new());
@@ -100,83 +98,79 @@
         }
     }
 
-    /// Takes a machine out, with its part of the sums.
+    /// Removes a machine, with its part of the totals.
     pub fn remove(&mut self, id: &str) {
-        if let Some(m) = self.by_id.remove(id) {
-            self.usage_totals.apply_usage(id, &m.accounted_usage, -1);
+        if let Some(machine) = self.by_id.remove(id) {
+            self.usage_totals.subtract(id, &machine.accounted_usage);
         }
     }
 
-    /// What a team's tasks take, over all that is not proven gone: CPUs and cards.
+    /// CPUs and accelerators that a team's tasks take, over all that may be on machines.
     pub fn team_usage(&self, team: &str) -> (f64, f64) {
-        let (c, g) = self
-            .usage_totals
-            .team_usage
-            .get(team)
-            .copied()
-            .unwrap_or_default();
-        (c as f64 / 1e6, g as f64 / 1e6)
+        let usage = self.usage_totals.team_usage.get(team);
+        let usage = usage.copied().unwrap_or_default();
+        (
+            usage.cpu_millionths as f64 / 1e6,
+            usage.gpu_millionths as f64 / 1e6,
+        )
+    }
+
+    fn job_usage(&self, job: &str) -> Option<&JobUsage> {
+        self.usage_totals.job_usage.get(job)
     }
 
     /// Whether the task may be on some machine.
     pub fn is_present(&self, job: &str, index: u32) -> bool {
-        let j = self.usage_totals.job_usage.get(job);
-        j.is_some_and(|j| j.present_machine_counts.contains_key(&index))
+        self.job_usage(job)
+            .is_some_and(|usage| usage.present_machine_counts.contains_key(&index))
     }
 
     /// Whether the task waits in a machine's queue.
     pub fn is_queued(&self, job: &str, index: u32) -> bool {
-        let j = self.usage_totals.job_usage.get(job);
-        j.is_some_and(|j| j.queued_machine_counts.contains_key(&index))
+        self.job_usage(job)
+            .is_some_and(|usage| usage.queued_machine_counts.contains_key(&index))
     }
 
-    /// A task of the job that is held in some machine's queue.
+    /// A task of the job that is in some machine's queue.
     pub fn first_queued(&self, job: &str) -> Option<u32> {
-        self.usage_totals
-            .job_usage
-            .get(job)?
-            .queued_machine_counts
-            .keys()
-            .next()
-            .copied()
+        let queued = &self.job_usage(job)?.queued_machine_counts;
+        queued.keys().next().copied()
     }
 
-    /// How many tasks of the job are held in machines' queues.
+    /// How many tasks of the job are in machines' queues.
     pub fn queued_count(&self, job: &str) -> usize {
-        self.usage_totals
-            .job_usage
-            .get(job)
-            .map_or(0, |j| j.queued_machine_counts.len())
+        self.job_usage(job)
+            .map_or(0, |usage| usage.queued_machine_counts.len())
     }
 
-    /// How many tasks of the job run or save.
+    /// How many tasks of the job run or checkpoint.
     pub fn running_count(&self, job: &str) -> u32 {
-        self.usage_totals
-            .job_usage
-            .get(job)
-            .map_or(0, |j| j.running_tasks)
+        self.job_usage(job).map_or(0, |usage| usage.running_tasks)
     }
 
     /// Tasks of a job that may be on machines.
     pub fn present_tasks(&self, job: &str) -> impl Iterator<Item = u32> + '_ {
-        let j = self.usage_totals.job_usage.get(job);
-        j.into_iter()
-            .flat_map(|j| j.present_machine_counts.keys().copied())
+        self.job_usage(job)
+            .into_iter()
+            .flat_map(|usage| usage.present_machine_counts.keys().copied())
     }
 
-    /// Machines with any placement or held task of the job.
+    /// Machines with any placement or queued task of the job.
     pub fn machines_of_job(&self, job: &str) -> Vec<String> {
-        let j = self.usage_totals.job_usage.get(job);
-        j.map_or(vec![], |j| j.entries_by_machine.keys().cloned().collect())
+        let usage = self.job_usage(job);
+        usage.map_or(vec![], |usage| {
+            usage.entries_by_machine.keys().cloned().collect()
+        })
     }
 
     /// Tasks of the job that may be in that zone, and elsewhere.
     pub fn task_counts_by_zone(&self, job: &str, zone: &str) -> (u32, u32) {
-        let Some(j) = self.usage_totals.job_usage.get(job) else {
+        let Some(usage) = self.job_usage(job) else {
             return (0, 0);
         };
-        let here = j.present_tasks_by_zone.get(zone).copied().unwrap_or(0);
-        (here, j.present_tasks_by_zone.values().sum::<u32>() - here)
+        let by_zone = &usage.present_tasks_by_zone;
+        let here = by_zone.get(zone).copied().unwrap_or(0);
+        (here, by_zone.values().sum::<u32>() - here)
     }
 
     /// Machines that have something to be commanded.
@@ -195,7 +189,7 @@
             .filter_map(|id| self.by_id.get(id))
     }
 
-    /// Jobs whose running tasks changed in number since this was last asked.
+    /// Jobs whose number of running tasks changed since the last call.
     pub fn take_jobs_with_changed_counts(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.usage_totals.jobs_with_changed_counts)
     }
--- a/crates/control/src/cluster/machines_tests.rs
+++ b/crates/control/src/cluster/machines_tests.rs
@@ -4,17 +4,17 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
 impl Machines {
-    /// The sums, added up anew.
+    /// The totals, added up anew.
     fn recompute_usage_totals(&self) -> UsageTotals {
-        let mut sums = UsageTotals::default();
-        for m in self.by_id.values() {
-            sums.apply_usage(&m.id, &AccountedUsage::of_machine(m), 1);
+        let mut totals = UsageTotals::default();
+        for machine in self.by_id.values() {
+            totals.add(&machine.id, &AccountedUsage::of_machine(machine));
         }
-        sums
+        totals
     }
 }
 
-/// Sums that drift from what they sum up would break limits or start tasks twice.
+/// Totals that drift from what they add up would break limits or start tasks twice.
 #[test]
 fn usage_totals_follow_every_change() {
     let mut rng = SmallRng::seed_from_u64(5);
--- a/crates/control/src/cluster/pending_write.rs
+++ b/crates/control/src/cluster/pending_write.rs
@@ -1,46 +1,64 @@
 //! What one transaction changes, and the key of each such change.
 use crate::records::{job_key, machine_group_key, result_chunk_key};
 
-/// A machine's name and an attempt on it.
-pub type PlacementRef = (String, u64);
+/// An attempt on a machine.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PlacementRef {
+    /// The machine's id.
+    pub machine: String,
+    /// The number of the attempt.
+    pub attempt: u64,
+}
 
-/// What of the store one transaction changes, to be marked when its answer comes.
+/// One write of a transaction, with what has to be marked when its answer comes.
 #[derive(Clone, Debug)]
 pub enum PendingWrite {
-    /// The unstored attempts that the record now holds.
+    /// The record of a machine group.
     MachineGroup {
+        /// The number of the group.
         machine_group: u32,
+        /// The unstored attempts that the record now holds.
         new_placements: Vec<PlacementRef>,
     },
+    /// The removal of an empty machine group's record.
     DeleteMachineGroup {
+        /// The number of the group.
         machine_group: u32,
     },
+    /// A chunk of a job's results.
     ResultChunk {
+        /// The job's id.
         job: String,
+        /// The number of the chunk.
         chunk: u32,
+        /// Exited placements whose outcome it stores.
         exited_placements: Vec<PlacementRef>,
     },
+    /// The end of a job whose tasks are all done.
     JobEnd {
+        /// The job's id.
         job: String,
+        /// Exited placements whose outcome it stores.
         exited_placements: Vec<PlacementRef>,
     },
+    /// The removal of a chunk of results of a job that has ended.
     DeleteResultChunk {
+        /// The key of the record.
         key: String,
     },
 }
 
-/// The key of the record that an item changes.
-pub(crate) fn pending_write_key(item: &PendingWrite) -> String {
-    match item {
-        PendingWrite::MachineGroup {
-            machine_group: shard,
-            ..
+impl PendingWrite {
+    /// The key of the record that it changes.
+    pub(crate) fn key(&self) -> String {
+        match self {
+            PendingWrite::MachineGroup { machine_group, .. }
+            | PendingWrite::DeleteMachineGroup { machine_group } => {
+                machine_group_key(*machine_group)
+            }
+            PendingWrite::ResultChunk { job, chunk, .. } => result_chunk_key(job, *chunk),
+            PendingWrite::JobEnd { job, .. } => job_key(job),
+            PendingWrite::DeleteResultChunk { key } => key.clone(),
         }
-        | PendingWrite::DeleteMachineGroup {
-            machine_group: shard,
-        } => machine_group_key(*shard),
-        PendingWrite::ResultChunk { job, chunk, .. } => result_chunk_key(job, *chunk),
-        PendingWrite::JobEnd { job, .. } => job_key(job),
-        PendingWrite::DeleteResultChunk { key } => key.clone(),
     }
 }
--- a/crates/control/src/cluster/placement.rs
+++ b/crates/control/src/cluster/placement.rs
@@ -1,44 +1,53 @@
 //! Placements: tasks on machines and the phases they go through.
+use super::TaskKey;
 use crate::api::Millis;
 use crate::records::task_name;
 use crate::resources::Resources;
 use stonegw_wire::msg::ExitCause;
 
-/// A task on a machine, from the decision until it is proven gone.
+/// How far a placement is, from the decision until it is proven to run no more.
 ///
-/// `New` -> `Ready` (stored) -> `Sent` -> `Fetching` -> `Running` (-> `Saving`) -> `Exited`. A gang's
-/// task is `Stored` until all of its attempt are, and `Gathering` until all have their image.
+/// `Unstored` -> `Startable` -> `Sent` -> `Fetching` -> `Running` (-> `Checkpointing`) -> `Exited`. A
+/// gang's task is `Stored` until all of its attempt are, and `WaitingForGang` until all have their
+/// image.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// Not stored yet: no `run` may go out.
+    /// Not stored yet: no start command may go out.
     Unstored,
-    /// Stored, but other tasks of its gang are not: no `run` may go out.
+    /// Stored, but other tasks of its gang are not: no start command may go out.
     Stored,
-    /// Stored; no `run` has gone out.
+    /// Stored; no start command has gone out.
     Startable,
-    /// A `run` has gone out, by us or by an earlier leader; the worker has not shown it.
+    /// A start command has gone out, by us or by an earlier leader; no heartbeat has shown the task.
     Sent,
     /// Fetches its image.
     Fetching,
     /// Has its image and waits for the other tasks of its gang.
     WaitingForGang,
-    /// Runs, as far as its worker has told.
+    /// Runs, as of the worker's newest heartbeat.
     Running,
-    /// Told to stop, and saves its state.
+    /// Told to stop, and writes a checkpoint.
     Checkpointing,
-    /// Not on the machine any more. `settled`: what follows from it is stored.
+    /// Runs no more.
     Exited {
         /// Why it ended.
         cause: ExitCause,
-        /// What follows from it is stored.
+        /// What follows from it for its job is stored, or nothing does.
         outcome_stored: bool,
     },
 }
 
-/// One attempt of one task on one machine: what it takes, how far it is, what it was told.
+impl Phase {
+    /// Whether a task in this phase may still run, and so takes its resources.
+    pub fn is_present(self) -> bool {
+        !matches!(self, Phase::Exited { .. })
+    }
+}
+
+/// One attempt of one task on one machine: what it takes, how far it is, which commands went out.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The job it is of.
+    /// The id of its job.
     pub job: String,
     /// The task's number in its job.
     pub index: u32,
@@ -48,7 +57,7 @@
     pub phase: Phase,
     /// CPUs it takes.
     pub cpus: f64,
-    /// Accelerator cards it takes.
+    /// Accelerators it takes.
     pub gpus: f64,
     /// Memory it takes, in GB.
     pub memory_gb: f64,
@@ -56,27 +65,27 @@
     pub team: String,
     /// Stored by an earlier leader.
     pub inherited: bool,
-    /// Wanted off the machine, with so many seconds to save.
+    /// To be stopped, with so many seconds for a checkpoint.
     pub stop_grace_s: Option<f64>,
-    /// The last stop command's time, to repeat it not too often.
+    /// When the last stop command was sent, so that it is not repeated too often.
     pub last_stop_sent_at: Millis,
-    /// The machine's highest sequence number when a `run` last went out in a report's answer:
-    /// only a report with a higher one can prove that it did not arrive.
+    /// The machine's highest sequence number when a start command last went out in a heartbeat's
+    /// reply: only a heartbeat with a higher one can prove that it did not arrive.
     pub sent_sequence: u64,
     /// When it was first seen running.
     pub running_at: Option<Millis>,
-    /// A pause of this process fell into it: how long it ran is not known.
+    /// A pause of the leader's process fell into its run: how long it takes is not known.
     pub run_time_unknown: bool,
     /// A command to forget the exited task went out.
     pub forget_sent: bool,
-    /// A `run` went out by a direct command, of which copies may arrive late.
+    /// A start command went out directly; copies of it may arrive late.
     pub sent_directly: bool,
-    /// When it was found to be gone.
+    /// When it was found to have exited.
     pub exited_at: Option<Millis>,
 }
 
 impl Placement {
-    /// A placement that takes nothing yet: the caller fills in what it knows.
+    /// A placement that takes no resources: the caller fills in what it knows.
     pub fn new(job: &str, index: u32, attempt: u64, phase: Phase) -> Placement {
         Placement {
             job: job.into(),
@@ -104,6 +113,14 @@
         task_name(&self.job, self.index)
     }
 
+    /// The task, by its job and number.
+    pub fn task_key(&self) -> TaskKey {
+        TaskKey {
+            job: self.job.clone(),
+            index: self.index,
+        }
+    }
+
     /// What it takes of its machine.
     pub fn resources(&self) -> Resources {
         Resources {
@@ -113,7 +130,7 @@
         }
     }
 
-    /// No `run` has gone out for it: it may simply be taken back.
+    /// No start command has gone out for it: it may be withdrawn without further proof.
     pub fn is_unsent(&self) -> bool {
         matches!(
             self.phase,
@@ -135,8 +152,15 @@
         }
     }
 
-    /// Counts towards limits, room, zones: all that is not proven gone.
+    /// What follows from its exit is stored, or nothing does.
+    pub fn mark_outcome_stored(&mut self) {
+        if let Phase::Exited { outcome_stored, .. } = &mut self.phase {
+            *outcome_stored = true;
+        }
+    }
+
+    /// Whether it counts towards limits, capacity and zones.
     pub fn is_present(&self) -> bool {
-        !matches!(self.phase, Phase::Exited { .. })
+        self.phase.is_present()
     }
 }
--- a/crates/control/src/cluster/placement_rules.rs
+++ b/crates/control/src/cluster/placement_rules.rs
@@ -2,21 +2,23 @@
 use super::{JobState, Machines};
 use stonegw_wire::msg::JobKind;
 
-/// Which tasks a job may have where, given its others.
-pub fn zone_allows(machines: &Machines, work: &JobState, zone: &str) -> bool {
-    let spec = &work.spec;
-    if spec.zone.as_ref().is_some_and(|z| z != zone) {
+/// Whether one more task of the job may run in the zone, given where its other tasks are.
+pub fn zone_allows(machines: &Machines, job: &JobState, zone: &str) -> bool {
+    let spec = &job.spec;
+    if spec.zone.as_ref().is_some_and(|wanted| wanted != zone) {
         return false;
     }
     if !spec.requires_single_zone && !spec.spreads_across_zones {
         return true;
     }
     let (here, elsewhere) = machines.task_counts_by_zone(&spec.id, zone);
-    let most = spec.task_count.div_ceil(2);
-    !(spec.requires_single_zone && elsewhere > 0 || spec.spreads_across_zones && here >= most)
+    let max_per_zone = spec.task_count.div_ceil(2);
+    let leaves_single_zone = spec.requires_single_zone && elsewhere > 0;
+    let exceeds_spread = spec.spreads_across_zones && here >= max_per_zone;
+    !leaves_single_zone && !exceeds_spread
 }
 
-/// True for work that is placed on arrival: urgent and without a deadline.
-pub fn is_immediate(work: &JobState) -> bool {
-    work.spec.kind == JobKind::Service || work.spec.deadline_s.is_none()
+/// Whether the job's tasks are placed on arrival: a service, or a job without a deadline.
+pub fn is_immediate(job: &JobState) -> bool {
+    job.spec.kind == JobKind::Service || job.spec.deadline_s.is_none()
 }
--- a/crates/control/src/cluster/queued_tasks.rs
+++ b/crates/control/src/cluster/queued_tasks.rs
@@ -2,37 +2,40 @@
 use super::ClusterState;
 
 impl ClusterState {
-    /// Takes a task out of the queues.
+    /// Takes a task out of the machines' queues.
     pub fn dequeue(&mut self, job: &str, index: u32) {
         if !self.machines.is_queued(job, index) {
             return;
         }
-        for id in self.machines.machines_of_job(job) {
-            if let Some(mut m) = self.machines.edit(&id) {
-                m.queued.retain(|h| (h.0.as_str(), h.1) != (job, index));
+        for machine_id in self.machines.machines_of_job(job) {
+            if let Some(mut machine) = self.machines.edit(&machine_id) {
+                machine.queued.retain(|(queued_job, queued_index)| {
+                    (queued_job.as_str(), *queued_index) != (job, index)
+                });
             }
         }
     }
 
-    /// Queued tasks must not take room that is kept or being made.
-    pub fn requeue_machine_queue(&mut self, machine: &str) {
-        let Some(mut m) = self.machines.edit(machine) else {
+    /// Empties a machine's queue: its tasks must not take capacity that is reserved or being
+    /// cleared.
+    pub fn requeue_machine_queue(&mut self, machine_id: &str) {
+        let Some(mut machine) = self.machines.edit(machine_id) else {
             return;
         };
-        for (job, index) in std::mem::take(&mut m.queued) {
-            if let Some(w) = self.jobs.get_mut(&job) {
-                w.requeue(index);
+        for (job_id, index) in std::mem::take(&mut machine.queued) {
+            if let Some(job) = self.jobs.get_mut(&job_id) {
+                job.requeue(index);
             }
         }
     }
 
-    /// Puts a waiting task in a machine's queue.
-    pub(crate) fn enqueue(&mut self, machine: &str, job: String, index: u32) {
-        if let Some(w) = self.jobs.get_mut(&job) {
-            w.remove_pending(index);
+    /// Moves a pending task into a machine's queue.
+    pub(crate) fn enqueue(&mut self, machine_id: &str, job_id: String, index: u32) {
+        if let Some(job) = self.jobs.get_mut(&job_id) {
+            job.remove_pending(index);
         }
-        if let Some(mut m) = self.machines.edit(machine) {
-            m.queued.push((job, index));
+        if let Some(mut machine) = self.machines.edit(machine_id) {
+            machine.queued.push((job_id, index));
         }
     }
 }
--- a/crates/control/src/cluster/reported_phase.rs
+++ b/crates/control/src/cluster/reported_phase.rs
@@ -3,20 +3,15 @@
 use stonegw_wire::msg::{ExitCause, TaskState, TaskStatus};
 
 /// The phase that a worker reports for a task.
-pub(crate) fn reported_phase(t: &TaskStatus) -> Phase {
-    match t.state {
+pub(crate) fn reported_phase(status: &TaskStatus) -> Phase {
+    match status.state {
         TaskState::Fetching | TaskState::Other => Phase::Fetching,
         TaskState::WaitingForGang => Phase::WaitingForGang,
         TaskState::Running => Phase::Running,
         TaskState::Checkpointing => Phase::Checkpointing,
         TaskState::Exited => Phase::Exited {
-            cause: t.exit_cause.unwrap_or(ExitCause::Other),
+            cause: status.exit_cause.unwrap_or(ExitCause::Other),
             outcome_stored: false,
         },
     }
 }
-
-/// A task in this phase still takes its room.
-pub(crate) fn is_present_phase(phase: Phase) -> bool {
-    !matches!(phase, Phase::Exited { .. })
-}
--- a/crates/control/src/cluster/state.rs
+++ b/crates/control/src/cluster/state.rs
@@ -35,13 +35,16 @@
     pub(crate) next_gang_check_at: Millis,
 }
 
-/// Why everything on a machine is gone.
+/// Evidence that what was on a machine runs there no more.
 #[derive(Clone, Copy)]
 pub(crate) enum TerminationEvidence {
     /// The cloud has deleted it.
     MachineDeleted,
-    /// Its worker began a new session.
-    NewIncarnation { includes_inherited: bool },
+    /// Its worker began a new incarnation.
+    NewIncarnation {
+        /// Whether it covers what an earlier leader placed.
+        includes_inherited: bool,
+    },
 }
 
 impl ClusterState {
--- a/crates/control/src/cluster/stored_state.rs
+++ b/crates/control/src/cluster/stored_state.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of the records that the leader stores: their versions and what must be written.
+//! Bookkeeping of the records that the leader stores: their revisions and what must be written.
 use crate::api::Millis;
 use std::collections::{BTreeSet, HashSet};
 use stonegw_constants::{
@@ -8,13 +8,14 @@
 /// The stored copy of something the leader writes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoredState {
-    /// The stamp it has; `None`: a write went unanswered, read before writing again.
+    /// The revision it has, 0 if absent; `None`: a write is unacknowledged, so it is read before it
+    /// is written again.
     pub revision: Option<u64>,
-    /// Must be written before something goes on.
+    /// Must be written: something waits for that.
     pub dirty: bool,
-    /// Holds more than it need; written when there is nothing better to do.
+    /// Holds more than it needs to; written when there is budget left.
     pub stale: bool,
-    /// A write is under way.
+    /// A write is in flight.
     pub write_in_flight: bool,
 }
 
@@ -24,10 +25,10 @@
         StoredState::at_revision(0)
     }
 
-    /// Stored with that stamp, and up to date.
-    pub fn at_revision(version: u64) -> StoredState {
+    /// Stored at that revision, and up to date.
+    pub fn at_revision(revision: u64) -> StoredState {
         StoredState {
-            revision: Some(version),
+            revision: Some(revision),
             dirty: false,
             stale: false,
             write_in_flight: false,
@@ -35,27 +36,28 @@
     }
 }
 
-/// The record that tells of a group of machines.
+/// A group of machines whose placements share one record.
 #[derive(Clone, Debug)]
 pub struct MachineGroup {
     /// Its copy in the store.
     pub stored_state: StoredState,
-    /// The machines it tells of.
+    /// The machines in it.
     pub machines: BTreeSet<String>,
-    /// Bytes of JSON it takes at most.
+    /// Bytes of JSON that its record takes at most.
     pub estimated_bytes: usize,
-    /// The jobs counted in `bytes`.
+    /// The jobs counted in `estimated_bytes`.
     pub jobs: HashSet<String>,
     /// Urgent work waits for its write.
     pub is_urgent: bool,
     /// Since when something in it waits to be written.
     pub dirty_since: Millis,
-    /// Records that took over machines this one tells of: until they are stored it stays as it is.
+    /// Groups that took over machines from this one: until their records are stored, the record of
+    /// this one stays as it is.
     pub successors: BTreeSet<u32>,
 }
 
 impl MachineGroup {
-    /// A shard that tells of no machine yet.
+    /// A group without machines.
     pub fn new(stored_state: StoredState) -> MachineGroup {
         MachineGroup {
             stored_state,
@@ -77,6 +79,11 @@
     pub fn add_task(&mut self, now: Millis, job: &str) {
         self.estimated_bytes += self.bytes_for_task(job);
         self.jobs.insert(job.to_owned());
+        self.mark_dirty(now);
+    }
+
+    /// Its record must be written.
+    pub fn mark_dirty(&mut self, now: Millis) {
         if !self.stored_state.dirty {
             self.dirty_since = now;
         }
@@ -85,8 +92,12 @@
 
     /// Bytes that one more task of the job takes at most.
     pub fn bytes_for_task(&self, job: &str) -> usize {
-        let new = !self.jobs.contains(job);
-        MACHINE_GROUP_BYTES_PER_TASK + if new { MACHINE_GROUP_BYTES_PER_JOB } else { 0 }
+        let job_bytes = if self.jobs.contains(job) {
+            0
+        } else {
+            MACHINE_GROUP_BYTES_PER_JOB
+        };
+        MACHINE_GROUP_BYTES_PER_TASK + job_bytes
     }
 }
 
@@ -107,4 +118,12 @@
             dirty_since: 0,
         }
     }
+
+    /// It must be written.
+    pub fn mark_dirty(&mut self, now: Millis) {
+        if !self.stored_state.dirty {
+            self.dirty_since = now;
+        }
+        self.stored_state.dirty = true;
+    }
 }
--- a/crates/control/src/cluster/task_placement.rs
+++ b/crates/control/src/cluster/task_placement.rs
@@ -1,25 +1,34 @@
-//! Putting tasks on machines and taking them back.
-use super::{ClusterState, Machine, MachineGroup, Phase, Placement, StoredState};
+//! Placing tasks on machines and requeuing them.
+use super::{ClusterState, Machine, MachineGroup, Phase, Placement, StoredState, TaskKey};
 use std::collections::BTreeSet;
 use stonegw_constants::{
     MACHINE_GROUP_BYTES_PER_JOB, MACHINE_GROUP_BYTES_PER_MACHINE, MACHINE_GROUP_BYTES_PER_TASK,
     MACHINE_GROUP_MAX_MACHINES, MACHINE_GROUP_OVERHEAD_BYTES,
 };
 
+/// Whether a record must have capacity for a task that is entered in it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GroupCapacity {
+    /// The task is still to be placed: without capacity in a record it is not.
+    Required,
+    /// The task is on the machine already and must be recorded in any case.
+    Ignored,
+}
+
 impl ClusterState {
-    /// Puts a waiting task on a machine. Nothing goes out before it is stored. False: it waits
-    /// on, for there is no room in the record.
-    pub fn place_task(&mut self, machine: &str, job: &str, index: u32) -> bool {
-        // The last guard against running twice, whatever went wrong before.
-        if self.machines.is_present(job, index) {
-            log::error!("{job}/{index} may already be on a machine; not placed again");
-            if let Some(w) = self.jobs.get_mut(job) {
-                w.remove_pending(index);
+    /// Places a pending task on a machine. No command goes out before that is stored. False: the
+    /// task stays pending, for no record has capacity for it.
+    pub fn place_task(&mut self, machine_id: &str, job_id: &str, index: u32) -> bool {
+        // The last guard against running a task twice, whatever went wrong before.
+        if self.machines.is_present(job_id, index) {
+            log::error!("{job_id}/{index} may already be on a machine; not placed again");
+            if let Some(job) = self.jobs.get_mut(job_id) {
+                job.remove_pending(index);
             }
             return true;
         }
         let attempt = self.allocate_attempt();
-        self.place_attempt(machine, job, index, attempt)
+        self.place_attempt(machine_id, job_id, index, attempt)
     }
 
     /// A number that no attempt of any leader has had.
@@ -28,138 +37,176 @@
         self.last_attempt
     }
 
-    /// Puts a task on a machine under an attempt that may have other tasks. False: there is no room
-    /// in the record.
-    pub fn place_attempt(&mut self, machine: &str, job: &str, index: u32, attempt: u64) -> bool {
-        let Some(shard) = self.assign_machine_group(machine, job, false) else {
+    /// Places a task on a machine under an attempt that may have other tasks. False: no record has
+    /// capacity for it.
+    pub fn place_attempt(
+        &mut self,
+        machine_id: &str,
+        job_id: &str,
+        index: u32,
+        attempt: u64,
+    ) -> bool {
+        let group = self.assign_machine_group(machine_id, job_id, GroupCapacity::Required);
+        let Some(group_number) = group else {
             return false;
         };
-        let (Some(mut m), Some(w)) = (self.machines.edit(machine), self.jobs.get_mut(job)) else {
+        let (Some(mut machine), Some(job)) =
+            (self.machines.edit(machine_id), self.jobs.get_mut(job_id))
+        else {
             return false;
         };
-        w.remove_pending(index);
-        w.record_start(self.now_ms);
-        m.machine_group = Some(shard);
-        log::debug!("place {job}/{index}#{attempt} on {machine}");
-        m.placements.push(Placement {
-            cpus: w.spec.cpus,
-            gpus: w.spec.gpus,
-            memory_gb: w.spec.memory_gb,
-            team: w.spec.team.clone(),
-            ..Placement::new(job, index, attempt, Phase::Unstored)
+        job.remove_pending(index);
+        job.record_start(self.now_ms);
+        machine.machine_group = Some(group_number);
+        log::debug!("place {job_id}/{index}#{attempt} on {machine_id}");
+        machine.placements.push(Placement {
+            cpus: job.spec.cpus,
+            gpus: job.spec.gpus,
+            memory_gb: job.spec.memory_gb,
+            team: job.spec.team.clone(),
+            ..Placement::new(job_id, index, attempt, Phase::Unstored)
         });
-        m.idle_since = None;
-        if let Some(s) = self.machine_groups.get_mut(&shard) {
-            s.add_task(self.now_ms, job);
-            s.is_urgent |= w.is_urgent();
+        machine.idle_since = None;
+        if let Some(group) = self.machine_groups.get_mut(&group_number) {
+            group.add_task(self.now_ms, job_id);
+            group.is_urgent |= job.is_urgent();
         }
-        let cache = self
-            .catalog
-            .machine_types
-            .iter()
-            .find(|t| t.name == m.machine_type)
+        let mut machine_types = self.catalog.machine_types.iter();
+        let cache_gb = machine_types
+            .find(|t| t.name == machine.machine_type)
             .map_or(0.0, |t| t.cache_gb);
-        m.record_image_use(&w.spec.image, w.spec.image_size_gb, cache);
+        machine.record_image_use(&job.spec.image, job.spec.image_size_gb, cache_gb);
         true
     }
 
-    /// Whether some record can tell of one more task of the job on the machine.
-    pub fn group_record_has_capacity(&self, m: &Machine, job: &str) -> bool {
-        let own = m.machine_group.and_then(|n| self.machine_groups.get(&n));
-        own.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(job) <= self.max_value_bytes)
-            || MACHINE_GROUP_OVERHEAD_BYTES + bytes_to_move(m, job) <= self.max_value_bytes
+    /// Whether some record has capacity for one more task of the job on the machine.
+    pub fn group_record_has_capacity(&self, machine: &Machine, job_id: &str) -> bool {
+        let present = machine.machine_group;
+        let present = present.and_then(|number| self.machine_groups.get(&number));
+        present.is_some_and(|group| self.has_bytes_for_task(group, job_id))
+            || self.fits_new_group(bytes_to_move(machine, job_id))
     }
 
-    /// The record that will tell of one more task of the job on the machine. A machine whose record
-    /// is full moves to another with all that may be on it. `None`: no record has room for that.
-    /// `force`: the task is there already and must be told of.
-    fn find_machine_group(&self, m: &Machine, job: &str, force: bool) -> Option<u32> {
-        let fits = |s: &MachineGroup| {
-            force || s.estimated_bytes + s.bytes_for_task(job) <= self.max_value_bytes
-        };
-        if let Some(n) = m.machine_group {
-            if self.machine_groups.get(&n).is_some_and(fits) {
-                return Some(n);
+    fn has_bytes_for_task(&self, group: &MachineGroup, job_id: &str) -> bool {
+        group.estimated_bytes + group.bytes_for_task(job_id) <= self.max_value_bytes
+    }
+
+    fn fits_new_group(&self, machine_bytes: usize) -> bool {
+        MACHINE_GROUP_OVERHEAD_BYTES + machine_bytes <= self.max_value_bytes
+    }
+
+    /// The number of the group whose record will hold one more task of the job on the machine. A
+    /// machine whose record is full moves to another with all that may be on it. `None`: no record
+    /// has capacity for that.
+    fn find_machine_group(
+        &self,
+        machine: &Machine,
+        job_id: &str,
+        capacity: GroupCapacity,
+    ) -> Option<u32> {
+        let ignored = capacity == GroupCapacity::Ignored;
+        let fits = |group: &MachineGroup| ignored || self.has_bytes_for_task(group, job_id);
+        if let Some(number) = machine.machine_group {
+            if self.machine_groups.get(&number).is_some_and(fits) {
+                return Some(number);
             }
         }
-        let bytes = bytes_to_move(m, job);
-        if !force && MACHINE_GROUP_OVERHEAD_BYTES + bytes > self.max_value_bytes {
+        let bytes = bytes_to_move(machine, job_id);
+        if !ignored && !self.fits_new_group(bytes) {
             return None;
         }
-        let busy = m.placements.iter().any(Placement::is_present);
-        // A write on its way does not tell of the machine, and once it is answered the old record
-        // would no longer wait. One that waits for others would keep these tasks waiting as well.
-        let takes =
-            |s: &MachineGroup| s.successors.is_empty() && !(busy && s.stored_state.write_in_flight);
-        let roomy = |s: &MachineGroup| s.estimated_bytes.max(bytes) <= self.max_value_bytes / 2;
-        let open = self
-            .machine_groups
-            .iter()
-            .find(|(_, s)| takes(s) && roomy(s) && s.machines.len() < MACHINE_GROUP_MAX_MACHINES);
-        let open = open.map(|(n, _)| *n);
+        let is_busy = machine.placements.iter().any(Placement::is_present);
+        let open = self.machine_groups.iter().find(|(_, group)| {
+            // A write in flight does not hold the machine, and once it is answered the old record
+            // would no longer wait. A group that waits for others would keep these tasks waiting
+            // as well.
+            group.successors.is_empty()
+                && !(is_busy && group.stored_state.write_in_flight)
+                && group.estimated_bytes.max(bytes) <= self.max_value_bytes / 2
+                && group.machines.len() < MACHINE_GROUP_MAX_MACHINES
+        });
+        let open = open.map(|(number, _)| *number);
         open.or_else(|| Some(self.free_group_number()))
     }
 
+    /// Puts a machine into the group whose record will hold one more task of the job on it, and
+    /// returns the group's number.
     pub(crate) fn assign_machine_group(
         &mut self,
-        machine: &str,
-        job: &str,
-        force: bool,
+        machine_id: &str,
+        job_id: &str,
+        capacity: GroupCapacity,
     ) -> Option<u32> {
-        let m = self.machines.get(machine)?;
-        let n = self.find_machine_group(m, job, force)?;
-        let was = m.machine_group.filter(|was| *was != n);
-        let rows: Vec<String> = m
+        let machine = self.machines.get(machine_id)?;
+        let number = self.find_machine_group(machine, job_id, capacity)?;
+        let previous = machine.machine_group.filter(|previous| *previous != number);
+        let jobs_on_machine: Vec<String> = machine
             .placements
             .iter()
-            .filter(|p| p.is_present())
-            .map(|p| p.job.clone())
+            .filter(|placement| placement.is_present())
+            .map(|placement| placement.job.clone())
             .collect();
-        if let Some(s) = was.and_then(|w| self.machine_groups.get_mut(&w)) {
-            s.machines.remove(machine);
-            s.stored_state.stale = true;
-            // What may be on the machine stands here until it stands there.
-            if !rows.is_empty() {
-                s.successors.insert(n);
+        let previous = previous.and_then(|previous| self.machine_groups.get_mut(&previous));
+        if let Some(previous) = previous {
+            previous.machines.remove(machine_id);
+            previous.stored_state.stale = true;
+            // What may be on the machine stays in this record until the other one is stored.
+            if !jobs_on_machine.is_empty() {
+                previous.successors.insert(number);
             }
         }
-        let new = || MachineGroup::new(StoredState::absent());
-        let s = self.machine_groups.entry(n).or_insert_with(new);
-        if s.machines.insert(machine.to_owned()) {
-            s.estimated_bytes += MACHINE_GROUP_BYTES_PER_MACHINE;
-            for job in rows {
-                s.add_task(self.now_ms, &job);
+        let group = self
+            .machine_groups
+            .entry(number)
+            .or_insert_with(|| MachineGroup::new(StoredState::absent()));
+        if group.machines.insert(machine_id.to_owned()) {
+            group.estimated_bytes += MACHINE_GROUP_BYTES_PER_MACHINE;
+            for job in jobs_on_machine {
+                group.add_task(self.now_ms, &job);
             }
         }
-        Some(n)
+        Some(number)
     }
 
-    /// What the machine's record holds is more than need be.
-    pub(crate) fn mark_group_stale(&mut self, machine: &str) {
-        let shard = self.machines.get(machine).and_then(|m| m.machine_group);
-        if let Some(s) = shard.and_then(|n| self.machine_groups.get_mut(&n)) {
-            s.stored_state.stale = true;
+    /// The machine's record holds more than it needs to.
+    pub(crate) fn mark_group_stale(&mut self, machine_id: &str) {
+        let machine = self.machines.get(machine_id);
+        let number = machine.and_then(|machine| machine.machine_group);
+        if let Some(group) = number.and_then(|number| self.machine_groups.get_mut(&number)) {
+            group.stored_state.stale = true;
         }
     }
 
-    /// A task is proven gone from where it was: it waits again, unless it is elsewhere.
-    pub fn requeue_task(&mut self, job: &str, index: u32) {
+    /// A task is proven to run no more where it was: it is pending again, unless it is elsewhere.
+    pub fn requeue_task(&mut self, job_id: &str, index: u32) {
         self.scheduling_needed = true;
-        self.gangs_changed |= self.jobs.get(job).is_some_and(|w| w.gang.is_some());
-        // A task that is held waits already; waiting twice, it would start twice.
-        let elsewhere = self.machines.is_present(job, index) || self.machines.is_queued(job, index);
-        if let (false, Some(w)) = (elsewhere, self.jobs.get_mut(job)) {
-            w.requeue(index);
+        let job = self.jobs.get(job_id);
+        self.gangs_changed |= job.is_some_and(|job| job.gang.is_some());
+        // A queued task waits already; pending as well, it would start twice.
+        let is_elsewhere =
+            self.machines.is_present(job_id, index) || self.machines.is_queued(job_id, index);
+        if is_elsewhere {
+            return;
+        }
+        if let Some(job) = self.jobs.get_mut(job_id) {
+            job.requeue(index);
+        }
+    }
+
+    /// The same for several tasks.
+    pub(crate) fn requeue_tasks(&mut self, tasks: impl IntoIterator<Item = TaskKey>) {
+        for task in tasks {
+            self.requeue_task(&task.job, task.index);
         }
     }
 }
 
 /// Bytes that a machine and its tasks, with one more of the job, take in a record at most.
-fn bytes_to_move(m: &Machine, job: &str) -> usize {
-    let mut jobs: BTreeSet<&str> = BTreeSet::from([job]);
+fn bytes_to_move(machine: &Machine, job_id: &str) -> usize {
+    let mut jobs: BTreeSet<&str> = BTreeSet::from([job_id]);
     let mut tasks = 1;
-    for p in m.placements.iter().filter(|p| p.is_present()) {
-        jobs.insert(&p.job);
+    for placement in machine.placements.iter().filter(|p| p.is_present()) {
+        jobs.insert(&placement.job);
         tasks += 1;
     }
     MACHINE_GROUP_BYTES_PER_MACHINE
--- /dev/null
+++ b/crates/control/src/leader/commands.rs
@@ -0,0 +1,157 @@
+//! Which commands are due for a machine.
+use super::Leader;
+use crate::api::Millis;
+use crate::cluster::{Lifecycle, Phase, Placement};
+use crate::context::LeaderContext;
+use stonegw_constants::{DUPLICATE_COMMAND_LIFETIME_MS, STOP_RESEND_INTERVAL_MS};
+use stonegw_wire::msg::{Command, ExitCause};
+
+/// How commands get to a worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CommandPath {
+    /// In the reply to its newest heartbeat.
+    HeartbeatReply,
+    /// By a call of our own.
+    Direct,
+}
+
+/// What decides which commands are due for a machine's placements at one moment.
+struct CommandTurn {
+    now: Millis,
+    path: CommandPath,
+    /// The sequence number of the machine's newest heartbeat.
+    sequence: u64,
+    /// A direct command may still arrive.
+    may_deliver_late: bool,
+    /// Tasks may be started on the machine.
+    may_start: bool,
+}
+
+impl Leader {
+    /// Commands due for a machine. What they are about counts as sent from now on.
+    pub(super) fn collect_commands(
+        &mut self,
+        context: &LeaderContext,
+        machine_id: &str,
+        path: CommandPath,
+    ) -> Vec<Command> {
+        let Some(mut machine) = self.cluster.machines.edit(machine_id) else {
+            return vec![];
+        };
+        let turn = CommandTurn {
+            now: context.now.monotonic_ms,
+            path,
+            sequence: machine.sequence,
+            may_deliver_late: machine.commands.may_deliver_late(),
+            may_start: machine.lifecycle != Lifecycle::Terminating && context.watermark_current,
+        };
+        let mut commands = vec![];
+        for placement in &mut machine.placements {
+            turn.add_commands(placement, &mut commands);
+        }
+        commands
+    }
+}
+
+impl CommandTurn {
+    fn add_commands(&self, placement: &mut Placement, commands: &mut Vec<Command>) {
+        match placement.phase {
+            Phase::Unstored | Phase::Stored => {}
+            Phase::Startable => commands.extend(self.start(placement)),
+            Phase::Sent => match placement.stop_grace_s {
+                Some(grace_s) => self.stop_sent(placement, grace_s, commands),
+                None => commands.extend(self.start(placement)),
+            },
+            Phase::Fetching | Phase::WaitingForGang | Phase::Running | Phase::Checkpointing => {
+                commands.extend(self.stop_running(placement));
+            }
+            Phase::Exited {
+                cause,
+                outcome_stored,
+            } => {
+                placement.exited_at.get_or_insert(self.now);
+                if outcome_stored {
+                    commands.extend(self.forget(placement, cause));
+                }
+            }
+        }
+    }
+
+    /// A predecessor's task is never sent again: the record may be older than the task's move
+    /// elsewhere. Either the worker shows it, or it runs no more.
+    fn start(&self, placement: &mut Placement) -> Option<Command> {
+        let is_reply = self.path == CommandPath::HeartbeatReply;
+        let is_due = placement.phase == Phase::Startable || is_reply;
+        let may_start = placement.stop_grace_s.is_none() && !placement.inherited && self.may_start;
+        if !is_due || !may_start {
+            return None;
+        }
+        placement.set_phase(Phase::Sent);
+        if is_reply {
+            placement.sent_sequence = self.sequence;
+        } else {
+            placement.sent_directly = true;
+        }
+        Some(start_command(placement))
+    }
+
+    /// A start command that may still arrive late must find its attempt used up: so it is given
+    /// once more, with a stop after it.
+    fn stop_sent(&self, placement: &mut Placement, grace_s: f64, commands: &mut Vec<Command>) {
+        if self.may_deliver_late && !placement.inherited {
+            commands.push(start_command(placement));
+            placement.sent_sequence = self.sequence;
+        }
+        commands.push(stop_command(placement, grace_s));
+    }
+
+    fn stop_running(&self, placement: &mut Placement) -> Option<Command> {
+        let grace_s = placement.stop_grace_s?;
+        let resend_at = placement.last_stop_sent_at + STOP_RESEND_INTERVAL_MS;
+        if self.path == CommandPath::Direct && self.now < resend_at {
+            return None;
+        }
+        placement.last_stop_sent_at = self.now;
+        Some(stop_command(placement, grace_s))
+    }
+
+    /// Never while a direct start command may still arrive: it would start the task anew.
+    fn forget(&self, placement: &mut Placement, cause: ExitCause) -> Option<Command> {
+        if self.path == CommandPath::Direct
+            || self.may_deliver_late
+            || !may_forget(self.now, placement, cause)
+        {
+            return None;
+        }
+        placement.forget_sent = true;
+        Some(Command::Forget {
+            task_id: placement.task_name(),
+            attempt: placement.attempt,
+        })
+    }
+}
+
+fn start_command(placement: &Placement) -> Command {
+    Command::Start {
+        task_id: placement.task_name(),
+        attempt: placement.attempt,
+    }
+}
+
+fn stop_command(placement: &Placement, grace_period_s: f64) -> Command {
+    Command::Stop {
+        task_id: placement.task_name(),
+        attempt: placement.attempt,
+        grace_period_s,
+    }
+}
+
+/// Whether the worker may forget an exited task. One whose direct start command may arrive once
+/// more, as a late copy, must find its attempt used up: else it would start anew while the task,
+/// which was not done, is elsewhere. The worker keeps it for as long as copies may be on their way.
+fn may_forget(now: Millis, placement: &Placement, cause: ExitCause) -> bool {
+    let may_start_again =
+        placement.sent_directly && !placement.inherited && cause != ExitCause::Done;
+    let exited_at = placement.exited_at.unwrap_or(now);
+    !may_start_again || now >= exited_at + DUPLICATE_COMMAND_LIFETIME_MS
+}
--- a/crates/control/src/leader/commit.rs
+++ b/crates/control/src/leader/commit.rs
@@ -1,96 +1,126 @@
-//! Puts what is due into one transaction at a time and sends it.
+//! Puts the writes that are due into one transaction and sends it.
+use super::record_writer::GarbageRecord;
 use super::transaction_builder::TransactionBuilder;
-use super::*;
+use super::{Leader, Stage};
+use crate::api::{Millis, Target};
+use crate::calls::LeaderCall;
+use crate::cluster::{MachineGroup, PendingWrite};
+use crate::context::LeaderContext;
 use stonegw_constants::{
     COMMIT_INTERVAL_MS, GARBAGE_COLLECTION_INTERVAL_MS, RESULT_TXN_DIVISOR, STORE_TIMEOUT_MS,
     URGENT_COMMIT_RESERVE_FRACTION,
 };
+use stonegw_wire::msg::encode;
+
+/// Part of a second's writes that garbage collection leaves to placements.
+const GARBAGE_COLLECTION_RESERVE_FRACTION: f64 = 0.5;
 
 impl Leader {
-    /// Writes what is due, one transaction at a time. Every write names the stamp it replaces,
+    /// Writes what is due, one transaction at a time. Every write names the revision it replaces,
     /// so that a transaction applied late changes nothing.
     pub fn commit(&mut self, context: &mut LeaderContext) {
         let now = context.now.monotonic_ms;
-        if self.commit_in_flight
-            || self.revision_read_in_flight
-            || now < self.next_commit_at
-            || self.stage == Stage::Loading
-        {
+        if self.writer.must_wait(now) || self.stage == Stage::Loading {
             return;
         }
-        if self.read_unacknowledged_revision(context) {
+        if self.read_unacknowledged_revision(context) || !self.has_writes() {
             return;
         }
-        if self.cluster.jobs_to_store.is_empty()
-            && self.garbage_records.is_empty()
-            && !self
-                .cluster
-                .machine_groups
-                .values()
-                .any(MachineGroup::needs_write)
-        {
-            return;
+        if let Some(transaction) = self.build_transaction(context) {
+            self.send_transaction(context, transaction);
         }
-        let level = context.write_budget.available(now);
-        let most = (level.max(0.0) as usize).min(context.store_limits.max_transaction_writes());
-        if most == 0 {
-            return;
+    }
+
+    fn has_writes(&self) -> bool {
+        let mut groups = self.cluster.machine_groups.values();
+        !self.cluster.jobs_to_store.is_empty()
+            || !self.writer.garbage_records.is_empty()
+            || groups.any(MachineGroup::needs_write)
+    }
+
+    /// What is due, as far as the budget allows. `None`: nothing may be written at present.
+    fn build_transaction(&mut self, context: &mut LeaderContext) -> Option<TransactionBuilder> {
+        let now = context.now.monotonic_ms;
+        let available_writes = context.write_budget.available(now);
+        let max_transaction_writes = context.store_limits.max_transaction_writes();
+        let max_writes = (available_writes.max(0.0) as usize).min(max_transaction_writes);
+        if max_writes == 0 {
+            return None;
         }
         self.cluster.split_oversized_groups();
-        let mut draft = TransactionBuilder::new(self.term, most);
-        // Placements of urgent work are counted in seconds.
-        self.add_machine_group_writes(&mut draft, |s| s.stored_state.dirty && s.is_urgent);
-        self.add_job_end_writes(context, &mut draft);
-        // The rest waits for company, and leaves urgent placements their budget.
-        let ops = (context.store_limits.max_transaction_writes() as f64)
-            .min(context.settings.store_writes_per_s);
-        let reserve = ops * URGENT_COMMIT_RESERVE_FRACTION;
-        if now >= self.next_batch_at && level > reserve {
-            // Tasks wait for placements, nobody for results that can be told again: these have a
-            // part of each transaction, so that they are stored all the same.
-            self.add_result_writes(context, &mut draft, most.div_ceil(RESULT_TXN_DIVISOR));
-            self.add_machine_group_writes(&mut draft, |s| s.stored_state.dirty);
-            // A full transaction has no more company to wait for.
-            if !draft.pending_writes.is_empty() && !draft.is_full {
-                self.next_batch_at = now + COMMIT_INTERVAL_MS;
-            }
+        let mut transaction = TransactionBuilder::new(self.term, max_writes);
+        // Placements of urgent tasks are counted in seconds.
+        self.add_machine_group_writes(&mut transaction, |group| {
+            group.stored_state.dirty && group.is_urgent
+        });
+        self.add_job_end_writes(context, &mut transaction);
+        // The rest waits for more writes, and leaves urgent placements their budget.
+        let writes_per_s = (max_transaction_writes as f64).min(context.settings.store_writes_per_s);
+        let urgent_reserve = writes_per_s * URGENT_COMMIT_RESERVE_FRACTION;
+        if now >= self.writer.next_batch_at && available_writes > urgent_reserve {
+            self.add_batched_writes(context, &mut transaction);
         }
-        // Tidying must not eat the budget that placements may need in the next second.
-        if now >= self.collect_garbage_at && level > ops * 0.5 {
-            self.collect_garbage_at = now + GARBAGE_COLLECTION_INTERVAL_MS;
-            self.add_machine_group_writes(&mut draft, |s| s.stored_state.stale);
-            for (key, stored) in &mut self.garbage_records {
-                if let (Some(version), false) = (stored.revision, stored.write_in_flight) {
-                    let item = PendingWrite::DeleteResultChunk { key: key.clone() };
-                    if version != 0 && draft.add_write(key.clone(), version, None, item) {
-                        stored.write_in_flight = true;
-                    }
-                }
+        // Garbage collection must not use up the budget that placements may need in the next second.
+        let placement_reserve = writes_per_s * GARBAGE_COLLECTION_RESERVE_FRACTION;
+        if now >= self.writer.collect_garbage_at && available_writes > placement_reserve {
+            self.add_garbage_writes(now, &mut transaction);
+        }
+        Some(transaction)
+    }
+
+    /// Placements that are not urgent, and results. Tasks wait for placements, nobody for results,
+    /// which the workers go on reporting: these have a part of each transaction, so that they are
+    /// stored all the same.
+    fn add_batched_writes(
+        &mut self,
+        context: &LeaderContext,
+        transaction: &mut TransactionBuilder,
+    ) {
+        let max_results = transaction.max_writes.div_ceil(RESULT_TXN_DIVISOR);
+        self.add_result_writes(context, transaction, max_results);
+        self.add_machine_group_writes(transaction, |group| group.stored_state.dirty);
+        // A full transaction has no more writes to wait for.
+        if !transaction.pending_writes.is_empty() && !transaction.is_full {
+            self.writer.next_batch_at = context.now.monotonic_ms + COMMIT_INTERVAL_MS;
+        }
+    }
+
+    /// Records that hold more than they need to, and records of jobs that have ended.
+    fn add_garbage_writes(&mut self, now: Millis, transaction: &mut TransactionBuilder) {
+        self.writer.collect_garbage_at = now + GARBAGE_COLLECTION_INTERVAL_MS;
+        self.add_machine_group_writes(transaction, |group| group.stored_state.stale);
+        for GarbageRecord { key, stored_state } in &mut self.writer.garbage_records {
+            let (Some(revision), false) = (stored_state.revision, stored_state.write_in_flight)
+            else {
+                continue;
+            };
+            let write = PendingWrite::DeleteResultChunk { key: key.clone() };
+            if revision != 0 && transaction.add_write(key.clone(), revision, None, write) {
+                stored_state.write_in_flight = true;
             }
-            self.garbage_records.retain(|(_, s)| s.revision != Some(0));
         }
-        let TransactionBuilder {
-            transaction: txn,
-            pending_writes: items,
-            size,
-            ..
-        } = draft;
-        if items.is_empty() {
+        self.writer
+            .garbage_records
+            .retain(|record| record.stored_state.revision != Some(0));
+    }
+
+    fn send_transaction(&mut self, context: &mut LeaderContext, transaction: TransactionBuilder) {
+        let now = context.now.monotonic_ms;
+        let writes = transaction.pending_writes;
+        if writes.is_empty() {
             return;
         }
         if !context.read_budget.try_take(now, 1.0) {
-            return self.revert_commit(&items);
+            return self.revert_commit(&writes);
         }
         context
             .write_budget
-            .take_unconditionally(now, items.len() as f64);
-        self.commit_in_flight = true;
-        let body = encode(&txn);
-        let call = LeaderCall::Commit {
-            writes: items,
-            size,
-        };
-        let wait = STORE_TIMEOUT_MS;
-        context.send_call(call, Target::Store, "POST", "/multi".into(), body, wait);
+            .take_unconditionally(now, writes.len() as f64);
+        self.writer.request_in_flight = true;
+        let body = encode(&transaction.transaction);
+        let size = transaction.size;
+        let call = LeaderCall::Commit { writes, size };
+        let path = "/multi".into();
+        context.send_call(call, Target::Store, "POST", path, body, STORE_TIMEOUT_MS);
     }
 }
--- a/crates/control/src/leader/commit_results.rs
+++ b/crates/control/src/leader/commit_results.rs
@@ -1,158 +1,162 @@
 //! What follows from the answer to a transaction.
-use super::*;
+use super::Leader;
+use crate::api::{CallError, CallResult, Millis};
+use crate::cluster::{PendingWrite, Phase, PlacementRef, StoredState};
+use crate::context::LeaderContext;
+use crate::records::{result_chunk_key, JobEnd, JobRecord, LEADER_KEY};
+use crate::store_limits::TransactionSize;
 use stonegw_constants::{STORE_RETRY_BACKOFF_MAX_MS, STORE_RETRY_BACKOFF_MS};
+use stonegw_wire::msg::{decode, TxnResponse};
 
 impl Leader {
-    /// The bookkeeping of the record that an item changes.
-    pub(super) fn stored_state_of(&mut self, item: &PendingWrite) -> Option<&mut StoredState> {
-        match item {
-            PendingWrite::MachineGroup {
-                machine_group: shard,
-                ..
+    /// The bookkeeping of the record that a write changes.
+    pub(super) fn stored_state_of(&mut self, write: &PendingWrite) -> Option<&mut StoredState> {
+        match write {
+            PendingWrite::MachineGroup { machine_group, .. }
+            | PendingWrite::DeleteMachineGroup { machine_group } => {
+                let group = self.cluster.machine_groups.get_mut(machine_group);
+                group.map(|group| &mut group.stored_state)
             }
-            | PendingWrite::DeleteMachineGroup {
-                machine_group: shard,
-            } => self
-                .cluster
-                .machine_groups
-                .get_mut(shard)
-                .map(|s| &mut s.stored_state),
             PendingWrite::ResultChunk { job, chunk, .. } => {
-                if let Some(w) = self.cluster.jobs.get_mut(job) {
-                    return w.result_chunks.get_mut(chunk).map(|c| &mut c.stored_state);
+                if let Some(job) = self.cluster.jobs.get_mut(job) {
+                    let chunk = job.result_chunks.get_mut(chunk);
+                    return chunk.map(|chunk| &mut chunk.stored_state);
                 }
-                let key = result_chunk_key(job, *chunk);
-                self.garbage_records
-                    .iter_mut()
-                    .find(|d| d.0 == key)
-                    .map(|d| &mut d.1)
-            }
-            PendingWrite::DeleteResultChunk { key } => {
-                let key = key.clone();
-                self.garbage_records
-                    .iter_mut()
-                    .find(|d| d.0 == key)
-                    .map(|d| &mut d.1)
+                self.writer.garbage_state(&result_chunk_key(job, *chunk))
             }
+            PendingWrite::DeleteResultChunk { key } => self.writer.garbage_state(key),
             PendingWrite::JobEnd { .. } => None,
         }
     }
 
     /// Nothing of it was carried out: all is due again.
-    pub(super) fn revert_commit(&mut self, items: &[PendingWrite]) {
-        for item in items {
-            if let PendingWrite::JobEnd { job, .. } | PendingWrite::ResultChunk { job, .. } = item {
+    pub(super) fn revert_commit(&mut self, writes: &[PendingWrite]) {
+        for write in writes {
+            if let PendingWrite::JobEnd { job, .. } | PendingWrite::ResultChunk { job, .. } = write
+            {
                 self.cluster.jobs_to_store.insert(job.clone());
             }
-            if let PendingWrite::JobEnd { job, .. } = item {
-                if let Some(w) = self.cluster.jobs.get_mut(job) {
-                    w.end_write_in_flight = false;
+            if let PendingWrite::JobEnd { job, .. } = write {
+                if let Some(job) = self.cluster.jobs.get_mut(job) {
+                    job.end_write_in_flight = false;
                 }
-            } else if let Some(s) = self.stored_state_of(item) {
-                s.write_in_flight = false;
-                s.dirty = true;
+            } else if let Some(stored_state) = self.stored_state_of(write) {
+                stored_state.write_in_flight = false;
+                stored_state.dirty = true;
             }
         }
     }
 
-    /// Takes the answer of the state service to a transaction.
+    /// Takes the answer of the store to a transaction.
     pub(super) fn commit_done(
         &mut self,
         context: &mut LeaderContext,
-        items: Vec<PendingWrite>,
+        writes: Vec<PendingWrite>,
         size: TransactionSize,
         result: CallResult,
     ) {
-        let now = context.now.monotonic_ms;
-        self.commit_in_flight = false;
-        match &result {
-            Ok((200, _)) => context.store_limits.record_accepted(),
-            Ok((429, _)) => context.store_limits.record_rate_rejected(),
-            _ => {}
-        }
+        let retry_at = context.now.monotonic_ms + STORE_RETRY_BACKOFF_MS;
+        self.writer.request_in_flight = false;
         match result {
-            Ok((200, body)) => match decode::<TxnResponse>(&body) {
-                Ok(a) => self.apply_commit(context, items, a.revision),
-                Err(e) => {
-                    log::warn!("transaction answer not understood: {e}");
-                    self.revert_unacknowledged(&items);
-                }
-            },
-            Ok((409, body)) => {
-                let failed = decode::<TxnResponse>(&body)
-                    .map(|a| a.failed_keys)
-                    .unwrap_or_default();
-                if failed.iter().any(|f| f == LEADER_KEY) {
-                    log::warn!("term {}: the leader key is no longer ours", self.term);
-                    self.deposed = true;
-                    return;
-                }
-                self.revert_commit(&items);
-                for item in &items {
-                    let key = pending_write_key(item);
-                    if failed.contains(&key) {
-                        self.mark_unacknowledged(item);
-                    }
-                }
-                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
+            Ok((200, body)) => {
+                context.store_limits.record_accepted();
+                self.commit_accepted(context, writes, &body);
+            }
+            Ok((409, body)) => self.commit_conflicted(&writes, &body, retry_at),
+            Ok((429, _)) => {
+                context.store_limits.record_rate_rejected();
+                self.revert_commit(&writes);
+                self.writer.next_commit_at = retry_at;
             }
-            Ok((429 | 503, _)) | Err(CallError::NotSent) => {
-                self.revert_commit(&items);
-                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
+            Ok((503, _)) | Err(CallError::NotSent) => {
+                self.revert_commit(&writes);
+                self.writer.next_commit_at = retry_at;
             }
             // The limits were lowered: the same again, in smaller parts.
             Ok((400, _)) if context.store_limits.record_size_rejected(size) => {
-                self.revert_commit(&items);
-                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
+                self.revert_commit(&writes);
+                self.writer.next_commit_at = retry_at;
             }
             Ok((status, body)) => {
-                log::error!(
-                    "transaction refused: {status} {}",
-                    String::from_utf8_lossy(&body)
-                );
-                self.revert_commit(&items);
-                self.deprioritize_writes(now, &items);
-                self.next_commit_at = now + STORE_RETRY_BACKOFF_MAX_MS;
+                let now = context.now.monotonic_ms;
+                let reason = String::from_utf8_lossy(&body);
+                log::error!("transaction refused: {status} {reason}");
+                self.revert_commit(&writes);
+                self.deprioritize_writes(now, &writes);
+                self.writer.next_commit_at = now + STORE_RETRY_BACKOFF_MAX_MS;
             }
-            // It may have been carried out, or be applied yet: read the stamps before writing.
+            // It may have been carried out, or be applied yet: the revisions are read before the
+            // next write.
             Err(CallError::OutcomeUnknown | CallError::ResponseTooLarge) => {
-                self.revert_unacknowledged(&items);
-                self.next_commit_at = now + STORE_RETRY_BACKOFF_MS;
+                self.revert_unacknowledged(&writes);
+                self.writer.next_commit_at = retry_at;
+            }
+        }
+    }
+
+    fn commit_accepted(
+        &mut self,
+        context: &mut LeaderContext,
+        writes: Vec<PendingWrite>,
+        body: &[u8],
+    ) {
+        match decode::<TxnResponse>(body) {
+            Ok(response) => self.apply_commit(context, writes, response.revision),
+            Err(error) => {
+                log::warn!("can't decode the answer to a transaction: {error}");
+                self.revert_unacknowledged(&writes);
             }
         }
     }
 
+    /// Some record has another revision than we hold: another leader wrote it, or an earlier write
+    /// of ours was applied late.
+    fn commit_conflicted(&mut self, writes: &[PendingWrite], body: &[u8], retry_at: Millis) {
+        let failed_keys = decode::<TxnResponse>(body)
+            .map(|response| response.failed_keys)
+            .unwrap_or_default();
+        if failed_keys.iter().any(|key| key == LEADER_KEY) {
+            log::warn!("term {}: the leader key is no longer ours", self.term);
+            self.deposed = true;
+            return;
+        }
+        self.revert_commit(writes);
+        for write in writes {
+            if failed_keys.contains(&write.key()) {
+                self.mark_unacknowledged(write);
+            }
+        }
+        self.writer.next_commit_at = retry_at;
+    }
+
     /// What can't be written must not keep other records waiting.
-    fn deprioritize_writes(&mut self, now: Millis, items: &[PendingWrite]) {
-        for item in items {
-            if let PendingWrite::MachineGroup {
-                machine_group: shard,
-                ..
-            } = item
-            {
-                if let Some(s) = self.cluster.machine_groups.get_mut(shard) {
-                    s.dirty_since = now;
-                    s.is_urgent = false;
-                }
+    fn deprioritize_writes(&mut self, now: Millis, writes: &[PendingWrite]) {
+        for write in writes {
+            let PendingWrite::MachineGroup { machine_group, .. } = write else {
+                continue;
+            };
+            if let Some(group) = self.cluster.machine_groups.get_mut(machine_group) {
+                group.dirty_since = now;
+                group.is_urgent = false;
             }
         }
     }
 
     /// It is not known whether these were carried out.
-    fn revert_unacknowledged(&mut self, items: &[PendingWrite]) {
-        self.revert_commit(items);
-        for item in items {
-            self.mark_unacknowledged(item);
+    fn revert_unacknowledged(&mut self, writes: &[PendingWrite]) {
+        self.revert_commit(writes);
+        for write in writes {
+            self.mark_unacknowledged(write);
         }
     }
 
-    /// Has the stamp of a record read before it is written again.
-    fn mark_unacknowledged(&mut self, item: &PendingWrite) {
-        let Some(s) = self.stored_state_of(item) else {
+    /// Has the revision of a record read before it is written again.
+    fn mark_unacknowledged(&mut self, write: &PendingWrite) {
+        let Some(stored_state) = self.stored_state_of(write) else {
             return;
         };
-        if s.revision.take().is_some() {
-            self.unacknowledged_writes.push(item.clone());
+        if stored_state.revision.take().is_some() {
+            self.writer.unacknowledged_writes.push(write.clone());
         }
     }
 
@@ -160,101 +164,89 @@
     fn apply_commit(
         &mut self,
         context: &mut LeaderContext,
-        items: Vec<PendingWrite>,
+        writes: Vec<PendingWrite>,
         revision: u64,
     ) {
-        let mut settled: Vec<PlacementRef> = vec![];
-        for item in items {
-            let gone = matches!(item, PendingWrite::DeleteMachineGroup { .. });
-            if let Some(s) = self.stored_state_of(&item) {
-                s.write_in_flight = false;
-                s.revision = Some(if gone { 0 } else { revision });
+        let mut stored_exits: Vec<PlacementRef> = vec![];
+        for write in writes {
+            let is_delete = matches!(write, PendingWrite::DeleteMachineGroup { .. });
+            if let Some(stored_state) = self.stored_state_of(&write) {
+                stored_state.write_in_flight = false;
+                stored_state.revision = Some(if is_delete { 0 } else { revision });
             }
-            match item {
+            match write {
                 PendingWrite::MachineGroup {
-                    machine_group: shard,
-                    new_placements: new,
+                    machine_group,
+                    new_placements,
                 } => {
-                    self.cluster.clear_stored_successor(shard);
-                    for on in new {
-                        self.mark_placement_stored(&on);
+                    self.cluster.clear_stored_successor(machine_group);
+                    for placement in &new_placements {
+                        self.mark_placement_stored(placement);
                     }
                 }
-                // Something may have gone into it since.
-                PendingWrite::DeleteMachineGroup {
-                    machine_group: shard,
-                } => {
-                    if self
-                        .cluster
-                        .machine_groups
-                        .get(&shard)
-                        .is_some_and(|s| s.machines.is_empty())
-                    {
-                        self.cluster.machine_groups.remove(&shard);
-                    }
+                PendingWrite::DeleteMachineGroup { machine_group } => {
+                    self.remove_empty_group(machine_group);
                 }
                 PendingWrite::ResultChunk {
-                    exited_placements: exits,
-                    ..
-                } => settled.extend(exits),
-                PendingWrite::DeleteResultChunk { key } => {
-                    self.garbage_records.retain(|d| d.0 != key)
-                }
+                    exited_placements, ..
+                } => stored_exits.extend(exited_placements),
+                PendingWrite::DeleteResultChunk { key } => self.writer.remove_garbage(&key),
                 PendingWrite::JobEnd {
                     job,
-                    exited_placements: exits,
+                    exited_placements,
                 } => {
-                    settled.extend(exits);
-                    if let Some(j) = context.replica.jobs.get(&job) {
-                        let record = JobRecord {
-                            spec: None,
-                            end: Some(JobEnd::Done),
-                            observed_run_times: None,
-                            ..j.record.clone()
-                        };
-                        context.replica.put_job(&job, record, revision);
-                    }
-                    if let Some(s) =
-                        self.cluster.jobs.get(&job).and_then(|w| {
-                            self.scheduler.state.estimates.observed_run_times(&w.spec)
-                        })
-                    {
-                        self.scheduler
-                            .state
-                            .estimates
-                            .record_estimate_ratio(&s.class, s.run_to_estimate_ratio);
-                    }
-                    log::info!("job {job} done");
-                    self.end_job(&job, JobEnd::Done);
+                    stored_exits.extend(exited_placements);
+                    self.finish_job(context, &job, revision);
                 }
             }
         }
-        for on in settled {
-            self.update_placements(&on, |p| {
-                if let Phase::Exited {
-                    outcome_stored: settled,
-                    ..
-                } = &mut p.phase
-                {
-                    *settled = true;
-                }
-            });
+        for placement in &stored_exits {
+            self.mark_outcome_stored(placement);
         }
     }
 
+    /// A group's record was deleted; machines may have joined the group since.
+    fn remove_empty_group(&mut self, number: u32) {
+        let group = self.cluster.machine_groups.get(&number);
+        if group.is_some_and(|group| group.machines.is_empty()) {
+            self.cluster.machine_groups.remove(&number);
+        }
+    }
+
+    /// The end of a job whose tasks are all done was stored.
+    fn finish_job(&mut self, context: &mut LeaderContext, job_id: &str, revision: u64) {
+        if let Some(job) = context.replica.jobs.get(job_id) {
+            let record = JobRecord {
+                spec: None,
+                end: Some(JobEnd::Done),
+                observed_run_times: None,
+                ..job.record.clone()
+            };
+            context.replica.put_job(job_id, record, revision);
+        }
+        let estimates = &mut self.scheduler.state.estimates;
+        let job = self.cluster.jobs.get(job_id);
+        if let Some(observed) = job.and_then(|job| estimates.observed_run_times(&job.spec)) {
+            estimates.record_estimate_ratio(&observed.class, observed.run_to_estimate_ratio);
+        }
+        log::info!("job {job_id} done");
+        self.end_job(job_id, JobEnd::Done);
+    }
+
     /// A single task may be started now; one of a gang waits for the gang's other placements.
-    fn mark_placement_stored(&mut self, on: &PlacementRef) {
-        let works = &self.cluster.jobs;
-        let Some(mut m) = self.cluster.machines.edit(&on.0) else {
+    fn mark_placement_stored(&mut self, stored: &PlacementRef) {
+        let jobs = &self.cluster.jobs;
+        let Some(mut machine) = self.cluster.machines.edit(&stored.machine) else {
             return;
         };
-        for p in m.placements.iter_mut() {
-            if p.attempt != on.1 || p.phase != Phase::Unstored {
+        for placement in machine.placements.iter_mut() {
+            if placement.attempt != stored.attempt || placement.phase != Phase::Unstored {
                 continue;
             }
-            let in_gang = works.get(&p.job).is_some_and(|w| w.gang.is_some());
-            self.cluster.gangs_changed |= in_gang;
-            p.set_phase(if in_gang {
+            let job = jobs.get(&placement.job);
+            let is_in_gang = job.is_some_and(|job| job.gang.is_some());
+            self.cluster.gangs_changed |= is_in_gang;
+            placement.set_phase(if is_in_gang {
                 Phase::Stored
             } else {
                 Phase::Startable
@@ -262,15 +254,15 @@
         }
     }
 
-    /// Changes an attempt's placements, as far as they are still there.
-    fn update_placements(
-        &mut self,
-        (machine, attempt): &PlacementRef,
-        change: impl Fn(&mut Placement),
-    ) {
-        if let Some(mut m) = self.cluster.machines.edit(machine) {
-            let of_attempt = m.placements.iter_mut().filter(|p| p.attempt == *attempt);
-            of_attempt.for_each(change);
+    /// What follows from an attempt's exit is stored: the worker may forget it.
+    fn mark_outcome_stored(&mut self, exited: &PlacementRef) {
+        let Some(mut machine) = self.cluster.machines.edit(&exited.machine) else {
+            return;
+        };
+        for placement in &mut machine.placements {
+            if placement.attempt == exited.attempt {
+                placement.mark_outcome_stored();
+            }
         }
     }
 }
--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -1,194 +1,131 @@
-//! Commands, in answers to reports and directly.
-use super::*;
-use stonegw_constants::{
-    DIRECT_COMMAND_TIMEOUT_MS, DUPLICATE_COMMAND_LIFETIME_MS, STOP_RESEND_INTERVAL_MS,
-};
+//! Commands that are sent directly, where that is faster than the reply to the next heartbeat.
+use super::commands::CommandPath;
+use super::Leader;
+use crate::api::{describe_result, CallError, CallResult, Target};
+use crate::calls::LeaderCall;
+use crate::cluster::{Machine, Phase};
+use crate::context::LeaderContext;
+use stonegw_constants::{DIRECT_COMMAND_TIMEOUT_MS, STOP_RESEND_INTERVAL_MS};
+use stonegw_wire::msg::{encode, Command, CommandBatch};
 
 impl Leader {
-    /// Commands due for a machine. `beat`: they go in the answer to its newest report.
-    pub(super) fn collect_commands(
-        &mut self,
-        context: &LeaderContext,
-        id: &str,
-        beat: bool,
-    ) -> Vec<Command> {
-        let now = context.now.monotonic_ms;
-        let Some(mut m) = self.cluster.machines.edit(id) else {
-            return vec![];
-        };
-        let open = m.command_in_flight.is_some() || m.command_unanswered;
-        let (seq, wanted) = (m.sequence, m.lifecycle != Lifecycle::Terminating);
-        let mut out = vec![];
-        for p in &mut m.placements {
-            let (task, attempt) = (p.task_name(), p.attempt);
-            match p.phase {
-                Phase::Unstored | Phase::Stored => {}
-                Phase::Startable | Phase::Sent => {
-                    // A predecessor's task is never sent again: the record may be older than
-                    // the task's move elsewhere. Either the worker shows it, or it is gone.
-                    if let (Some(grace_s), Phase::Sent) = (p.stop_grace_s, p.phase) {
-                        // A `run` that may still arrive late must find its attempt used up:
-                        // so it is given once more, and ended in the same breath.
-                        if open && !p.inherited {
-                            out.push(Command::Start {
-                                task_id: task.clone(),
-                                attempt,
-                            });
-                            p.sent_sequence = seq;
-                        }
-                        out.push(Command::Stop {
-                            task_id: task,
-                            attempt,
-                            grace_period_s: grace_s,
-                        });
-                    } else if p.stop_grace_s.is_none()
-                        && !p.inherited
-                        && wanted
-                        && context.watermark_current
-                        && (p.phase == Phase::Startable || beat)
-                    {
-                        p.set_phase(Phase::Sent);
-                        if beat {
-                            p.sent_sequence = seq;
-                        } else {
-                            p.sent_directly = true;
-                        }
-                        out.push(Command::Start {
-                            task_id: task,
-                            attempt,
-                        });
-                    }
-                }
-                Phase::Fetching | Phase::WaitingForGang | Phase::Running | Phase::Checkpointing => {
-                    if let Some(grace_s) = p.stop_grace_s {
-                        if beat || now >= p.last_stop_sent_at + STOP_RESEND_INTERVAL_MS {
-                            p.last_stop_sent_at = now;
-                            out.push(Command::Stop {
-                                task_id: task,
-                                attempt,
-                                grace_period_s: grace_s,
-                            });
-                        }
-                    }
-                }
-                // Never while a direct `run` may still arrive: after `clear` it would start
-                // the task anew.
-                Phase::Exited {
-                    cause,
-                    outcome_stored: settled,
-                } => {
-                    p.exited_at.get_or_insert(now);
-                    if settled && beat && !open && may_forget(now, p, cause) {
-                        p.forget_sent = true;
-                        out.push(Command::Forget {
-                            task_id: task,
-                            attempt,
-                        });
-                    }
-                }
-            }
-        }
-        out
-    }
-
-    /// Direct commands, where they are faster than the next report.
+    /// Sends the commands that are due to machines which can be reached directly.
     pub(super) fn send_direct_commands(&mut self, context: &mut LeaderContext) {
-        let now = context.now.monotonic_ms;
-        let ids: Vec<String> = self
+        let machine_ids: Vec<String> = self
             .cluster
             .machines
             .with_pending_commands()
-            .filter(|m| {
-                m.command_in_flight.is_none()
-                    && m.addr.is_some()
-                    && !m.is_silent(now, context.settings.heartbeat_interval_s)
-                    && !m.via_store
-                    && !m.is_unreachable()
-                    && m.placements.iter().any(|p| match p.phase {
-                        Phase::Startable => p.stop_grace_s.is_none() && context.watermark_current,
-                        Phase::Fetching | Phase::WaitingForGang | Phase::Running => {
-                            p.stop_grace_s.is_some()
-                                && now >= p.last_stop_sent_at + STOP_RESEND_INTERVAL_MS
-                        }
-                        _ => false,
-                    })
+            .filter(|machine| {
+                is_directly_reachable(machine, context) && has_due_command(machine, context)
             })
-            .map(|m| m.id.clone())
+            .map(|machine| machine.id.clone())
             .collect();
-        for id in ids {
-            let commands = self.collect_commands(context, &id, false);
-            let Some(mut m) = self.cluster.machines.edit(&id) else {
-                continue;
-            };
-            if commands.is_empty() {
-                continue;
-            }
-            let runs: Vec<u64> = commands
-                .iter()
-                .filter_map(|c| match c {
-                    Command::Start { attempt, .. } => Some(*attempt),
-                    _ => None,
-                })
-                .collect();
-            let orders = CommandBatch {
-                fencing_token: self.term,
-                incarnation: Some(m.incarnation),
-                commands,
-            };
-            let session = m.incarnation;
-            let target = Target::Worker(m.addr.clone().unwrap_or_default());
-            let call = LeaderCall::DirectCommand {
-                machine: id.clone(),
-                incarnation: session,
-                started_attempts: runs,
-            };
-            let wait = DIRECT_COMMAND_TIMEOUT_MS;
-            let call = context.send_call(call, target, "POST", "/do".into(), encode(&orders), wait);
-            m.command_in_flight = Some(call);
+        for machine_id in machine_ids {
+            let commands = self.collect_commands(context, &machine_id, CommandPath::Direct);
+            self.send_direct_command(context, &machine_id, commands);
         }
     }
 
+    fn send_direct_command(
+        &mut self,
+        context: &mut LeaderContext,
+        machine_id: &str,
+        commands: Vec<Command>,
+    ) {
+        let Some(mut machine) = self.cluster.machines.edit(machine_id) else {
+            return;
+        };
+        if commands.is_empty() {
+            return;
+        }
+        let call = LeaderCall::DirectCommand {
+            machine: machine_id.to_owned(),
+            incarnation: machine.incarnation,
+            started_attempts: started_attempts(&commands),
+        };
+        let batch = CommandBatch {
+            fencing_token: self.term,
+            incarnation: Some(machine.incarnation),
+            commands,
+        };
+        let target = Target::Worker(machine.addr.clone().unwrap_or_default());
+        let (path, body) = ("/do".into(), encode(&batch));
+        let timeout_ms = DIRECT_COMMAND_TIMEOUT_MS;
+        let call_id = context.send_call(call, target, "POST", path, body, timeout_ms);
+        machine.commands.call_in_flight = Some(call_id);
+    }
+
+    /// Takes the result of a direct command.
     pub(super) fn direct_command_done(
         &mut self,
         context: &mut LeaderContext,
-        id: &str,
-        session: u64,
-        runs: Vec<u64>,
-        r: CallResult,
+        machine_id: &str,
+        incarnation: u64,
+        started_attempts: Vec<u64>,
+        result: CallResult,
     ) {
-        match self.cluster.machines.edit(id) {
-            Some(mut m) => m.command_in_flight = None,
+        match self.cluster.machines.edit(machine_id) {
+            Some(mut machine) => machine.commands.call_in_flight = None,
             None => return,
         }
-        if let Ok((200 | 409, body)) = &r {
-            if self.apply_command_reply(context, id, body) {
+        if let Ok((200 | 409, body)) = &result {
+            if self.apply_command_reply(context, machine_id, body) {
                 return;
             }
         }
-        let Some(mut m) = self.cluster.machines.edit(id) else {
+        let Some(mut machine) = self.cluster.machines.edit(machine_id) else {
             return;
         };
-        log::debug!("direct command to {id}: {}", describe_result(&r));
-        m.record_undelivered(context.now.monotonic_ms);
-        if r == Err(CallError::NotSent) {
-            for p in m.placements.iter_mut() {
-                if runs.contains(&p.attempt) && p.phase == Phase::Sent && p.sent_sequence == 0 {
-                    p.set_phase(Phase::Startable);
+        let outcome = describe_result(&result);
+        log::debug!("direct command to {machine_id}: {outcome}");
+        let now = context.now.monotonic_ms;
+        machine.commands.record_undelivered(machine_id, now);
+        if result == Err(CallError::NotSent) {
+            for placement in &mut machine.placements {
+                if started_attempts.contains(&placement.attempt)
+                    && placement.phase == Phase::Sent
+                    && placement.sent_sequence == 0
+                {
+                    placement.set_phase(Phase::Startable);
                 }
             }
             return;
         }
-        // It may still arrive, minutes late, for as long as this session lasts.
-        if m.incarnation == session && !runs.is_empty() {
-            m.command_unanswered = true;
+        // It may still arrive, minutes late, for as long as this incarnation lasts.
+        if machine.incarnation == incarnation && !started_attempts.is_empty() {
+            machine.commands.has_unanswered_start = true;
         }
     }
 }
 
-/// Whether the worker may forget an exited task. One whose direct `run` may come once more,
-/// as a late copy, must find its attempt used up: else it would start anew while the task,
-/// which was not done, is elsewhere. The worker keeps it for as long as copies may travel.
-fn may_forget(now: Millis, p: &Placement, cause: ExitCause) -> bool {
-    let again = p.sent_directly && !p.inherited && cause != ExitCause::Done;
-    !again || now >= p.exited_at.unwrap_or(now) + DUPLICATE_COMMAND_LIFETIME_MS
+fn is_directly_reachable(machine: &Machine, context: &LeaderContext) -> bool {
+    let now = context.now.monotonic_ms;
+    machine.commands.call_in_flight.is_none()
+        && machine.addr.is_some()
+        && !machine.is_silent(now, context.settings.heartbeat_interval_s)
+        && !machine.via_store
+        && !machine.is_unreachable()
+}
+
+fn has_due_command(machine: &Machine, context: &LeaderContext) -> bool {
+    let now = context.now.monotonic_ms;
+    machine
+        .placements
+        .iter()
+        .any(|placement| match placement.phase {
+            Phase::Startable => placement.stop_grace_s.is_none() && context.watermark_current,
+            Phase::Fetching | Phase::WaitingForGang | Phase::Running => {
+                placement.stop_grace_s.is_some()
+                    && now >= placement.last_stop_sent_at + STOP_RESEND_INTERVAL_MS
+            }
+            _ => false,
+        })
+}
+
+fn started_attempts(commands: &[Command]) -> Vec<u64> {
+    let attempts = commands.iter().filter_map(|command| match command {
+        Command::Start { attempt, .. } => Some(*attempt),
+        _ => None,
+    });
+    attempts.collect()
 }
--- a/crates/control/src/leader/fixture_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -1,11 +1,20 @@
-//! A leader alone with a small state service, for tests of what it stores.
-use super::*;
-use crate::api::Now;
+//! A leader alone with a small key-value store, for tests of what it stores.
+use super::{Leader, Stage};
+use crate::api::{CallError, CallResult, Millis, Now};
+use crate::calls::LeaderCall;
+use crate::cluster::JobState;
+use crate::context::LeaderContext;
 use crate::outbox::Outbox;
+use crate::records::{MachineGroupRecord, StoredRecord, LEADER_KEY};
 use crate::replica::Replica;
-use crate::settings::TokenBucket;
+use crate::settings::{Settings, TokenBucket};
 use crate::store_limits::StoreLimits;
+use std::collections::BTreeMap;
 use stonegw_constants::STORE_RETRY_BACKOFF_MS;
+use stonegw_wire::msg::{
+    decode, encode, json_size_bytes, Catalog, Entry, Heartbeat, JobKind, Priority, Txn,
+    TxnResponse, Write,
+};
 
 /// Applies transactions at once and refuses what passes its limits, whatever the settings say.
 pub struct FakeStore {
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -1,134 +1,164 @@
-//! Jobs that come and end, and what is told of them.
-use super::*;
+//! Jobs that are submitted and end, and the counts of their tasks for the other nodes.
+use super::{Leader, Stage};
+use crate::cluster::JobState;
+use crate::context::LeaderContext;
+use crate::records::{result_chunk_key, JobEnd};
 use stonegw_constants::MAX_MACHINES_PER_PROVISION;
+use stonegw_wire::frame::{self, TaskCounts};
+use stonegw_wire::msg::{JobKind, JobSpec, Priority};
+
+/// Whether it is a service of high priority, whose arrivals the autoscaler keeps headroom for.
+fn is_urgent_service(spec: &JobSpec) -> bool {
+    spec.kind == JobKind::Service && spec.priority >= Priority::High
+}
 
 impl Leader {
-    /// New jobs, and jobs that ended.
+    /// Takes over new jobs, and jobs that ended.
     pub(super) fn apply_job_changes(&mut self, context: &mut LeaderContext) {
-        let changed = std::mem::take(&mut context.replica.changed_jobs);
-        if !changed.is_empty() {
-            for e in std::mem::take(&mut self.unmatched_results) {
-                self.load_result_chunk(context, e);
+        let changed_jobs = std::mem::take(&mut context.replica.changed_jobs);
+        if !changed_jobs.is_empty() {
+            for entry in std::mem::take(&mut self.unmatched_results) {
+                self.load_result_chunk(context, entry);
             }
         }
-        for id in changed {
-            let Some(j) = context.replica.jobs.get(&id) else {
+        for job_id in changed_jobs {
+            let Some(replicated) = context.replica.jobs.get(&job_id) else {
                 continue;
             };
-            match (j.record.end, &j.record.spec) {
+            let record = &replicated.record;
+            match (record.end, &record.spec) {
                 (None, Some(spec)) => {
-                    log::debug!(
-                        "job {id}: {} x {:?} of {}",
-                        spec.task_count,
-                        spec.kind,
-                        spec.class
-                    );
-                    let at = j.record.submitted_at_ms;
-                    let spec = spec.clone();
-                    if spec.deadline_s.is_some() && !self.cluster.jobs.contains_key(&id) {
-                        let age = context.now.wall_ms.saturating_sub(at);
-                        let run_s = self.scheduler.state.estimates.mean_run_s(&spec);
-                        self.autoscaler.record_deadline_arrival(
-                            context.now.monotonic_ms,
-                            age,
-                            &spec,
-                            run_s,
-                        );
-                    }
-                    let new = !self.cluster.jobs.contains_key(&id) && self.stage == Stage::Active;
-                    if new && spec.kind == JobKind::Service && spec.priority >= Priority::High {
-                        let now = context.now.monotonic_ms;
-                        for _ in 0..spec.task_count.min(MAX_MACHINES_PER_PROVISION) {
-                            self.autoscaler.record_urgent_arrival(now);
-                        }
-                    }
-                    if new && spec.kind == JobKind::Gang {
-                        self.autoscaler
-                            .record_gang_arrival(context.now.monotonic_ms, &spec);
-                    }
-                    let work = self
-                        .cluster
-                        .jobs
-                        .entry(id.clone())
-                        .or_insert_with(|| JobState::new(spec, at));
-                    for index in self.cluster.machines.present_tasks(&id) {
-                        work.remove_pending(index);
-                    }
-                    self.cluster.scheduling_needed = true;
+                    self.accept_job(context, &job_id, spec, record.submitted_at_ms);
                 }
-                (None, None) => log::error!("job {id} has neither description nor end"),
+                (None, None) => log::error!("job {job_id} has neither description nor end"),
                 (Some(end), _) => {
-                    let urgent = self.cluster.jobs.get(&id).is_some_and(|w| {
-                        w.spec.kind == JobKind::Service && w.spec.priority >= Priority::High
-                    });
-                    if urgent {
+                    let job = self.cluster.jobs.get(&job_id);
+                    if job.is_some_and(|job| is_urgent_service(&job.spec)) {
                         self.autoscaler
                             .record_urgent_departure(context.now.monotonic_ms);
                     }
-                    self.end_job(&id, end);
+                    self.end_job(&job_id, end);
                 }
             }
         }
     }
 
-    pub(super) fn end_job(&mut self, id: &str, end: JobEnd) {
-        if let Some(work) = self.cluster.jobs.remove(id) {
-            for (chunk, c) in work.result_chunks {
-                self.garbage_records
-                    .push((result_chunk_key(id, chunk), c.stored_state));
+    fn accept_job(
+        &mut self,
+        context: &LeaderContext,
+        job_id: &str,
+        spec: &JobSpec,
+        submitted_at_ms: u64,
+    ) {
+        let JobSpec {
+            task_count,
+            kind,
+            class,
+            ..
+        } = spec;
+        log::debug!("job {job_id}: {task_count} x {kind:?} of {class}");
+        if !self.cluster.jobs.contains_key(job_id) {
+            self.record_arrival(context, spec, submitted_at_ms);
+        }
+        let job = self
+            .cluster
+            .jobs
+            .entry(job_id.to_owned())
+            .or_insert_with(|| JobState::new(spec.clone(), submitted_at_ms));
+        for index in self.cluster.machines.present_tasks(job_id) {
+            job.remove_pending(index);
+        }
+        self.cluster.scheduling_needed = true;
+    }
+
+    /// The autoscaler sizes the fleet for jobs that may arrive, judging by those that do.
+    fn record_arrival(&mut self, context: &LeaderContext, spec: &JobSpec, submitted_at_ms: u64) {
+        let now = context.now.monotonic_ms;
+        if spec.deadline_s.is_some() {
+            let age_ms = context.now.wall_ms.saturating_sub(submitted_at_ms);
+            let run_s = self.scheduler.state.estimates.mean_run_s(spec);
+            self.autoscaler
+                .record_deadline_arrival(now, age_ms, spec, run_s);
+        }
+        // Jobs found on loading arrived at an unknown time.
+        if self.stage != Stage::Active {
+            return;
+        }
+        if is_urgent_service(spec) {
+            for _ in 0..spec.task_count.min(MAX_MACHINES_PER_PROVISION) {
+                self.autoscaler.record_urgent_arrival(now);
+            }
+        }
+        if spec.kind == JobKind::Gang {
+            self.autoscaler.record_gang_arrival(now, spec);
+        }
+    }
+
+    /// A job ended: its tasks are stopped, and its records are to be deleted.
+    pub(super) fn end_job(&mut self, job_id: &str, end: JobEnd) {
+        if let Some(job) = self.cluster.jobs.remove(job_id) {
+            for (number, chunk) in job.result_chunks {
+                let key = result_chunk_key(job_id, number);
+                self.writer.add_garbage(key, chunk.stored_state);
             }
         }
-        self.cluster.jobs_to_store.remove(id);
-        self.scheduler.state.estimates.forget_job(id);
-        for machine in self.cluster.machines.machines_of_job(id) {
-            let Some(mut m) = self.cluster.machines.edit(&machine) else {
+        self.cluster.jobs_to_store.remove(job_id);
+        self.scheduler.state.estimates.forget_job(job_id);
+        for machine_id in self.cluster.machines.machines_of_job(job_id) {
+            let Some(mut machine) = self.cluster.machines.edit(&machine_id) else {
                 continue;
             };
-            m.queued.retain(|(j, _)| j != id);
-            for p in m.placements.iter_mut().filter(|p| p.job == id) {
-                if let Phase::Exited {
-                    outcome_stored: settled,
-                    ..
-                } = &mut p.phase
-                {
-                    *settled = true;
+            machine
+                .queued
+                .retain(|(queued_job, _)| queued_job != job_id);
+            for placement in &mut machine.placements {
+                if placement.job != job_id {
+                    continue;
+                }
+                if !placement.is_present() {
+                    placement.mark_outcome_stored();
                 } else if end == JobEnd::Cancelled {
-                    p.stop_grace_s = Some(0.0);
+                    placement.stop_grace_s = Some(0.0);
                 }
             }
         }
         self.cluster.scheduling_needed = true;
     }
 
-    pub fn task_counts(&self, job: &str) -> (u32, u32) {
-        let done = self.cluster.jobs.get(job).map_or(0, |w| w.done_count);
-        (done, self.cluster.machines.running_count(job))
+    /// How many tasks of a job are done, and how many run.
+    pub fn task_counts(&self, job_id: &str) -> (u32, u32) {
+        let done = self
+            .cluster
+            .jobs
+            .get(job_id)
+            .map_or(0, |job| job.done_count);
+        (done, self.cluster.machines.running_count(job_id))
     }
 
-    fn task_counts_message(&self, job: &str) -> TaskCounts {
-        let (done, running) = self.task_counts(job);
+    fn task_counts_message(&self, job_id: &str) -> TaskCounts {
+        let (done, running) = self.task_counts(job_id);
         TaskCounts {
-            job_id: frame::to_padded_text(job),
+            job_id: frame::to_padded_text(job_id),
             done: done.into(),
             running: running.into(),
         }
     }
 
-    /// Counts of jobs whose running tasks changed since the last time.
+    /// Counts of jobs whose running tasks changed since the last call.
     pub fn changed_counts(&mut self) -> Vec<TaskCounts> {
-        let changed = self.cluster.machines.take_jobs_with_changed_counts();
-        changed
+        let changed_jobs = self.cluster.machines.take_jobs_with_changed_counts();
+        changed_jobs
             .iter()
-            .map(|job| self.task_counts_message(job))
+            .map(|job_id| self.task_counts_message(job_id))
             .collect()
     }
 
-    /// Counts of all jobs that are not finished, for a node that knows none.
+    /// Counts of all jobs that have not ended, for a node that has none.
     pub fn all_counts(&self) -> Vec<TaskCounts> {
         self.cluster
             .jobs
             .keys()
-            .map(|job| self.task_counts_message(job))
+            .map(|job_id| self.task_counts_message(job_id))
             .collect()
     }
 }
--- /dev/null
+++ b/crates/control/src/leader/lease_renewal.rs
@@ -0,0 +1,79 @@
+//! Keeps the lease of the leader key alive.
+use crate::api::{CallResult, Millis, Target};
+use crate::calls::LeaderCall;
+use crate::context::LeaderContext;
+use stonegw_constants::{LEADER_RENEW_INTERVAL_MS, STORE_TIMEOUT_MS};
+
+/// What the answer to a renewal says of the lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LeaseStatus {
+    /// It was renewed, or there is no answer that says otherwise.
+    MayHold,
+    /// The store knows it no more.
+    Expired,
+}
+
+/// The renewals of one lease.
+#[derive(Debug)]
+pub(super) struct LeaseRenewal {
+    /// When the last renewal that succeeded was sent.
+    renewed_at: Millis,
+    last_sent_at: Millis,
+    next_at: Millis,
+    in_flight: bool,
+}
+
+impl LeaseRenewal {
+    /// For a lease that was requested at `leased_at`; the first renewal is due now.
+    pub(super) fn new(leased_at: Millis, now: Millis) -> LeaseRenewal {
+        LeaseRenewal {
+            renewed_at: leased_at,
+            last_sent_at: leased_at,
+            next_at: now,
+            in_flight: false,
+        }
+    }
+
+    /// Sends a renewal when it is time for one.
+    pub(super) fn send_if_due(&mut self, context: &mut LeaderContext, lease: u64) {
+        let now = context.now.monotonic_ms;
+        if now < self.next_at || self.in_flight {
+            return;
+        }
+        self.in_flight = true;
+        self.last_sent_at = now;
+        self.next_at = now + LEADER_RENEW_INTERVAL_MS;
+        context.read_budget.take_unconditionally(now, 1.0);
+        let call = LeaderCall::RenewLease { sent_at: now };
+        let path = format!("/grants/{lease}/touch");
+        context.send_call(call, Target::Store, "POST", path, vec![], STORE_TIMEOUT_MS);
+    }
+
+    /// Takes the answer to the renewal that was sent at `sent_at`.
+    pub(super) fn done(&mut self, sent_at: Millis, result: &CallResult) -> LeaseStatus {
+        // The answer to an earlier renewal leaves the present one in flight.
+        self.in_flight &= sent_at != self.last_sent_at;
+        match result {
+            Ok((200, _)) => {
+                self.renewed_at = self.renewed_at.max(sent_at);
+                LeaseStatus::MayHold
+            }
+            Ok((404, _)) => LeaseStatus::Expired,
+            _ => LeaseStatus::MayHold,
+        }
+    }
+
+    /// Whether the lease surely holds: it lasts its time to live from the moment at which the
+    /// renewal was sent.
+    pub(super) fn is_valid(&self, context: &LeaderContext) -> bool {
+        let expires_at = self.renewed_at + context.settings.tuning.leader_lease_ttl_ms;
+        context.now.monotonic_ms < expires_at
+    }
+
+    /// The process ran again after a pause: the lease is renewed at once. An answer to an earlier
+    /// renewal shows no more than that it held then.
+    pub(super) fn resume(&mut self, now: Millis) {
+        self.in_flight = false;
+        self.next_at = now;
+    }
+}
--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -1,199 +1,263 @@
-//! Loading what predecessors stored.
-use super::*;
-use stonegw_constants::{LIST_PAGE_ENTRIES, RESULT_CHUNK_TASKS, STORE_RETRY_BACKOFF_MS};
+//! Loads what earlier leaders stored.
+use super::load_cursor::LoadCursor;
+use super::{Leader, Stage};
+use crate::api::{describe_result, CallResult, Millis};
+use crate::calls::LeaderCall;
+use crate::cluster::{JobState, Machine, MachineGroup, Phase, Placement, ResultChunk, StoredState};
+use crate::context::LeaderContext;
+use crate::records::{
+    parse_task_name, JobRow, MachineGroupRecord, MachineRow, ResultChunkRecord, TaskRow,
+    MACHINE_GROUPS_PREFIX, RESULT_CHUNKS_PREFIX,
+};
+use serde::de::DeserializeOwned;
+use stonegw_constants::{RESULT_CHUNK_TASKS, STORE_RETRY_BACKOFF_MS};
+use stonegw_wire::msg::{decode, json_size_bytes, Entry, JobSpec, ListPage};
+
+/// How long a new leader waits for heartbeats, in heartbeat intervals.
+const HEARTBEAT_WAIT_INTERVALS: f64 = 1.25;
+
+/// A machine that was found in a second record.
+struct DuplicateMachine {
+    id: String,
+    /// The group whose record was loaded first.
+    first_group: u32,
+}
+
+/// A page of records that was read.
+struct LoadedPage {
+    /// The last key of the page, if the listing goes on.
+    last_key: Option<String>,
+}
 
 impl Leader {
+    /// Requests the next page, or ends loading once all pages are read.
     pub(super) fn load_records(&mut self, context: &mut LeaderContext) {
-        let now = context.now.monotonic_ms;
         match &mut self.load_cursor {
-            Some((prefix, after, asked, retry_at)) => {
-                if *asked || now < *retry_at || !context.read_budget.try_take(now, 1.0) {
-                    return;
-                }
-                *asked = true;
-                let prefix = *prefix;
-                let mut path = format!("/kv?prefix={prefix}&limit={}", LIST_PAGE_ENTRIES);
-                if let Some(a) = after {
-                    path.push_str(&format!("&since={a}"));
-                }
-                context.read_store(LeaderCall::LoadRecords { prefix }, path);
-            }
-            None => {
-                // The copy of the jobs was complete when the term began or is caught up by the
-                // watch; what changed before we looked is in `changed` or taken here.
-                let ids: Vec<String> = context.replica.jobs.keys().cloned().collect();
-                context.replica.changed_jobs = ids;
-                for seen in context
-                    .replica
-                    .jobs
-                    .values()
-                    .filter_map(|j| j.record.observed_run_times.as_ref())
-                {
-                    self.scheduler
-                        .state
-                        .estimates
-                        .record_estimate_ratio(&seen.class, seen.run_to_estimate_ratio);
-                }
-                self.apply_job_changes(context);
-                self.is_first_leader = self.cluster.machine_groups.is_empty();
-                let period = (context.settings.heartbeat_interval_s * 1.25 * 1e3) as u64;
-                self.set_stage(Stage::AwaitingHeartbeats {
-                    until: self.term_began_at.max(now.saturating_sub(period)) + period,
-                });
-            }
+            Some(cursor) => request_page(cursor, context),
+            None => self.finish_loading(context),
         }
     }
 
+    fn finish_loading(&mut self, context: &mut LeaderContext) {
+        // The replica of the jobs was complete when the term began or is brought up to date by the
+        // watch; what changed before now is in `changed_jobs` or taken here.
+        let job_ids: Vec<String> = context.replica.jobs.keys().cloned().collect();
+        context.replica.changed_jobs = job_ids;
+        let jobs = context.replica.jobs.values();
+        for observed in jobs.filter_map(|job| job.record.observed_run_times.as_ref()) {
+            self.scheduler
+                .state
+                .estimates
+                .record_estimate_ratio(&observed.class, observed.run_to_estimate_ratio);
+        }
+        self.apply_job_changes(context);
+        self.is_first_leader = self.cluster.machine_groups.is_empty();
+        let now = context.now.monotonic_ms;
+        let wait_s = context.settings.heartbeat_interval_s * HEARTBEAT_WAIT_INTERVALS;
+        let wait_ms = (wait_s * 1e3) as u64;
+        self.set_stage(Stage::AwaitingHeartbeats {
+            until: self.term_began_at.max(now.saturating_sub(wait_ms)) + wait_ms,
+        });
+    }
+
+    /// Takes the answer to the request for a page.
     pub(super) fn load_records_done(&mut self, context: &mut LeaderContext, result: CallResult) {
         let now = context.now.monotonic_ms;
-        let Some((prefix, _, asked, retry_at)) = &mut self.load_cursor else {
+        let Some(cursor) = &mut self.load_cursor else {
             return;
         };
-        *asked = false;
-        *retry_at = now + STORE_RETRY_BACKOFF_MS;
+        cursor.request_in_flight = false;
+        cursor.not_before = now + STORE_RETRY_BACKOFF_MS;
+        let prefix = cursor.prefix;
         let Ok((200, body)) = result else {
             log::debug!("load failed: {}", describe_result(&result));
             return;
         };
-        let prefix = *prefix;
-        let next = if prefix == MACHINE_GROUPS_PREFIX {
-            page::<MachineGroupRecord>(&body).map(|(items, next)| {
-                for e in items {
-                    self.load_machine_group(now, e);
-                }
-                next
+        let page = if prefix == MACHINE_GROUPS_PREFIX {
+            self.load_page(prefix, &body, |leader, entry| {
+                leader.load_machine_group(now, entry);
             })
         } else {
-            page::<ResultChunkRecord>(&body).map(|(items, next)| {
-                for e in items {
-                    self.load_result_chunk(context, e);
-                }
-                next
+            self.load_page(prefix, &body, |leader, entry| {
+                leader.load_result_chunk(context, entry);
             })
         };
-        let next = match next {
-            Ok(next) => next,
-            Err(e) => return log::error!("what is stored under {prefix} is not understood: {e}"),
-        };
-        self.load_cursor = match next {
-            Some(last) => Some((prefix, Some(last), false, now)),
-            None if prefix == MACHINE_GROUPS_PREFIX => {
-                Some((RESULT_CHUNKS_PREFIX, None, false, now))
+        if let (Some(page), Some(cursor)) = (page, &self.load_cursor) {
+            self.load_cursor = cursor.next(page.last_key, now);
+        }
+    }
+
+    /// Loads the entries of one page. `None`: the answer can't be decoded.
+    fn load_page<V: DeserializeOwned>(
+        &mut self,
+        prefix: &str,
+        body: &[u8],
+        mut load_entry: impl FnMut(&mut Leader, Entry<V>),
+    ) -> Option<LoadedPage> {
+        let page: ListPage<V> = match decode(body) {
+            Ok(page) => page,
+            Err(error) => {
+                log::error!("can't decode what is stored under {prefix}: {error}");
+                return None;
             }
-            None => None,
         };
+        let last_key = page.entries.last().map(|entry| entry.key.clone());
+        for entry in page.entries {
+            load_entry(self, entry);
+        }
+        Some(LoadedPage {
+            last_key: last_key.filter(|_| page.has_more),
+        })
     }
 
-    pub(super) fn load_machine_group(&mut self, now: Millis, e: Entry<MachineGroupRecord>) {
-        let number = e
-            .key
-            .strip_prefix(MACHINE_GROUPS_PREFIX)
-            .and_then(|n| n.parse().ok());
-        let Some(number) = number else {
-            return log::error!("unexpected record at {}", e.key);
+    /// Loads the record of a machine group.
+    pub(super) fn load_machine_group(&mut self, now: Millis, entry: Entry<MachineGroupRecord>) {
+        let number = entry.key.strip_prefix(MACHINE_GROUPS_PREFIX);
+        let Some(number) = number.and_then(|number| number.parse().ok()) else {
+            return log::error!("unexpected record at {}", entry.key);
         };
-        let mut shard = MachineGroup::new(StoredState::at_revision(e.revision));
-        shard.estimated_bytes += json_size_bytes(&e.value);
-        shard.jobs = e.value.jobs.iter().map(|j| j.0.clone()).collect();
-        let record = e.value;
-        let mut doubles = vec![];
-        for MachineRow(id, kind, zone, spot, tasks) in record.machines {
-            self.cluster
-                .machines
-                .add(&id, || Machine::new(&id, &kind, &zone, spot, now));
-            let Some(mut m) = self.cluster.machines.edit(&id) else {
-                continue;
-            };
-            m.loaded_from_store = true;
-            let known = m.machine_group.filter(|n| *n != number);
-            for TaskRow(job, index, attempt) in tasks {
-                let Some(JobRow(job, team, cpus, gpus, memory)) = record.jobs.get(job) else {
-                    log::error!("a record of {id} is not understood");
-                    continue;
-                };
-                // Two records may tell of it, see `settle_double`.
-                let same =
-                    |p: &Placement| p.attempt == attempt && p.index == index && p.job == *job;
-                if m.placements.iter().any(same) {
-                    continue;
-                }
-                m.placements.push(Placement {
-                    cpus: *cpus,
-                    gpus: *gpus,
-                    memory_gb: *memory,
-                    team: record.teams.get(*team).cloned().unwrap_or_default(),
-                    inherited: true,
-                    ..Placement::new(job, index, attempt, Phase::Sent)
-                });
-            }
-            match known {
-                Some(first) => {
-                    drop(m);
-                    doubles.push((id, first));
-                }
+        let record = entry.value;
+        let mut group = MachineGroup::new(StoredState::at_revision(entry.revision));
+        group.estimated_bytes += json_size_bytes(&record);
+        group.jobs = record.jobs.iter().map(|row| row.0.clone()).collect();
+        let mut duplicates = vec![];
+        for row in &record.machines {
+            let id = row.0.clone();
+            match self.load_machine(now, number, &record, row) {
+                Some(first_group) => duplicates.push(DuplicateMachine { id, first_group }),
                 None => {
-                    m.machine_group = Some(number);
-                    shard.machines.insert(id);
+                    group.machines.insert(id);
                 }
             }
         }
-        shard.stored_state.stale = true;
-        self.cluster.machine_groups.insert(number, shard);
-        for (id, first) in doubles {
+        group.stored_state.stale = true;
+        self.cluster.machine_groups.insert(number, group);
+        for DuplicateMachine { id, first_group } in duplicates {
             self.cluster
-                .resolve_duplicate_machine(now, &id, first, number);
+                .resolve_duplicate_machine(now, &id, first_group, number);
         }
     }
 
+    /// Loads a machine and its tasks from the record of the group `number`. Returns the group whose
+    /// record was found to hold it before; without one it joins this group.
+    fn load_machine(
+        &mut self,
+        now: Millis,
+        number: u32,
+        record: &MachineGroupRecord,
+        row: &MachineRow,
+    ) -> Option<u32> {
+        let MachineRow(id, machine_type, zone, is_spot, tasks) = row;
+        self.cluster
+            .machines
+            .add(id, || Machine::new(id, machine_type, zone, *is_spot, now));
+        let mut machine = self.cluster.machines.edit(id)?;
+        machine.loaded_from_store = true;
+        for task in tasks {
+            let Some(placement) = inherited_placement(record, task) else {
+                log::error!("a record of {id} names a job that it does not describe");
+                continue;
+            };
+            // Two records may hold it, see `resolve_duplicate_machine`.
+            let mut known = machine.placements.iter();
+            let is_known = known.any(|other| {
+                other.attempt == placement.attempt && other.task_key() == placement.task_key()
+            });
+            if !is_known {
+                machine.placements.push(placement);
+            }
+        }
+        let first_group = machine.machine_group.filter(|first| *first != number);
+        if first_group.is_none() {
+            machine.machine_group = Some(number);
+        }
+        first_group
+    }
+
+    /// Loads a chunk of a job's results.
     pub(super) fn load_result_chunk(
         &mut self,
         context: &mut LeaderContext,
-        e: Entry<ResultChunkRecord>,
+        entry: Entry<ResultChunkRecord>,
     ) {
-        let Some((job, chunk)) = e
-            .key
-            .strip_prefix(RESULT_CHUNKS_PREFIX)
-            .and_then(parse_task_name)
-        else {
+        let name = entry.key.strip_prefix(RESULT_CHUNKS_PREFIX);
+        let Some((job_id, chunk)) = name.and_then(parse_task_name) else {
             return;
         };
-        let known = context.replica.jobs.get(job);
-        match known {
-            Some(j) if j.record.end.is_none() => {
-                let Some(spec) = &j.record.spec else { return };
-                let at = j.record.submitted_at_ms;
-                let work = self
-                    .cluster
-                    .jobs
-                    .entry(job.into())
-                    .or_insert_with(|| JobState::new(spec.clone(), at));
-                if let Err(why) = work
-                    .done_tasks
-                    .merge(chunk * RESULT_CHUNK_TASKS, &e.value.done_bitmap)
-                {
-                    log::error!("results of {} not understood: {why}", e.key);
-                }
-                let done = &work.done_tasks;
-                work.pending_tasks.retain(|n| !done.get(*n));
-                if work.pending_tasks.is_empty() {
-                    self.cluster.jobs_to_store.insert(job.into());
-                }
-                work.done_count = work.spec.task_count - work.pending_tasks.len() as u32;
-                if work.done_count > 0 {
-                    work.failures.record_success();
-                }
-                let stored = StoredState::at_revision(e.revision);
-                work.result_chunks.insert(chunk, ResultChunk::new(stored));
-                self.scheduler.state.estimates.inherit_observed_runs(
-                    job,
-                    e.value.observed_runs,
-                    e.value.mean_run_s,
-                );
+        match context.replica.jobs.get(job_id) {
+            Some(job) if job.record.end.is_none() => {
+                let Some(spec) = &job.record.spec else { return };
+                self.load_results(job_id, spec, job.record.submitted_at_ms, chunk, &entry);
             }
-            Some(_) => self
-                .garbage_records
-                .push((e.key, StoredState::at_revision(e.revision))),
-            None => self.unmatched_results.push(e),
+            Some(_) => {
+                let stored_state = StoredState::at_revision(entry.revision);
+                self.writer.add_garbage(entry.key, stored_state);
+            }
+            None => self.unmatched_results.push(entry),
         }
     }
+
+    fn load_results(
+        &mut self,
+        job_id: &str,
+        spec: &JobSpec,
+        submitted_at_ms: u64,
+        chunk: u32,
+        entry: &Entry<ResultChunkRecord>,
+    ) {
+        let job = self
+            .cluster
+            .jobs
+            .entry(job_id.into())
+            .or_insert_with(|| JobState::new(spec.clone(), submitted_at_ms));
+        let first_task = chunk * RESULT_CHUNK_TASKS;
+        if let Err(error) = job.done_tasks.merge(first_task, &entry.value.done_bitmap) {
+            log::error!("can't decode the results at {}: {error}", entry.key);
+        }
+        let done_tasks = &job.done_tasks;
+        job.pending_tasks.retain(|index| !done_tasks.get(*index));
+        if job.pending_tasks.is_empty() {
+            self.cluster.jobs_to_store.insert(job_id.into());
+        }
+        job.done_count = job.spec.task_count - job.pending_tasks.len() as u32;
+        if job.done_count > 0 {
+            job.failures.record_success();
+        }
+        let stored_state = StoredState::at_revision(entry.revision);
+        job.result_chunks
+            .insert(chunk, ResultChunk::new(stored_state));
+        self.scheduler.state.estimates.inherit_observed_runs(
+            job_id,
+            entry.value.observed_runs,
+            entry.value.mean_run_s,
+        );
+    }
+}
+
+fn request_page(cursor: &mut LoadCursor, context: &mut LeaderContext) {
+    let now = context.now.monotonic_ms;
+    if cursor.request_in_flight
+        || now < cursor.not_before
+        || !context.read_budget.try_take(now, 1.0)
+    {
+        return;
+    }
+    cursor.request_in_flight = true;
+    let prefix = cursor.prefix;
+    context.read_store(LeaderCall::LoadRecords { prefix }, cursor.path());
+}
+
+/// A placement as an earlier leader stored it: its start command may have been sent. `None`: the
+/// record does not describe its job.
+fn inherited_placement(record: &MachineGroupRecord, task: &TaskRow) -> Option<Placement> {
+    let TaskRow(job_row, index, attempt) = *task;
+    let JobRow(job_id, team, cpus, gpus, memory_gb) = record.jobs.get(job_row)?;
+    Some(Placement {
+        cpus: *cpus,
+        gpus: *gpus,
+        memory_gb: *memory_gb,
+        team: record.teams.get(*team).cloned().unwrap_or_default(),
+        inherited: true,
+        ..Placement::new(job_id, index, attempt, Phase::Sent)
+    })
 }
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -1,94 +1,125 @@
-//! Puts the records of machines that are due into a transaction.
+//! Puts the records of machine groups that are due into a transaction.
 use super::transaction_builder::TransactionBuilder;
-use super::*;
+use super::Leader;
+use crate::api::Millis;
+use crate::cluster::{machine_group_snapshot, MachineGroup, MachineGroupSnapshot, PendingWrite};
+use crate::records::{machine_group_key, StoredRecord};
+use std::collections::{BTreeMap, BTreeSet};
 use stonegw_constants::MACHINE_GROUP_OVERHEAD_BYTES;
+use stonegw_wire::msg::json_size_bytes;
 
-/// Records to be written, the longest waiting first: by number, the last would wait for ever while
-/// the first keep changing.
+/// What became of the attempt to write a group's record.
+#[derive(PartialEq)]
+enum GroupWrite {
+    /// It is in the transaction, or stays due.
+    Handled,
+    /// The group has no tasks and no record.
+    NothingStored,
+}
+
+/// Groups whose records are to be written, the longest waiting first: by number, the last would
+/// wait for ever while the first keep changing.
 fn groups_to_write(
-    shards: &BTreeMap<u32, MachineGroup>,
-    due: fn(&MachineGroup) -> bool,
+    groups: &BTreeMap<u32, MachineGroup>,
+    is_due: fn(&MachineGroup) -> bool,
 ) -> Vec<u32> {
-    // What a successor took over must be stored there before it goes from here.
-    let waits = |s: &MachineGroup| s.successors.iter().any(|n| shards.contains_key(n));
-    let ready = |s: &MachineGroup| {
-        due(s) && s.stored_state.revision.is_some() && !s.stored_state.write_in_flight && !waits(s)
+    let may_write = |group: &MachineGroup| {
+        // What a successor took over must be stored there before it is removed from here.
+        let mut successors = group.successors.iter();
+        group.stored_state.revision.is_some()
+            && !group.stored_state.write_in_flight
+            && !successors.any(|number| groups.contains_key(number))
     };
-    let ready = shards.iter().filter(|(_, s)| ready(s));
-    let mut order: Vec<(Millis, u32)> = ready.map(|(n, s)| (s.dirty_since, *n)).collect();
+    let mut order: Vec<(Millis, u32)> = groups
+        .iter()
+        .filter(|(_, group)| is_due(group) && may_write(group))
+        .map(|(number, group)| (group.dirty_since, *number))
+        .collect();
     order.sort_unstable();
-    order.into_iter().map(|(_, n)| n).collect()
+    order.into_iter().map(|(_, number)| number).collect()
 }
 
 impl Leader {
-    /// Records of machines that `due` chooses, as far as the draft has room.
+    /// Adds the records of the groups that `is_due` chooses, as far as they fit.
     pub(super) fn add_machine_group_writes(
         &mut self,
-        draft: &mut TransactionBuilder,
-        due: fn(&MachineGroup) -> bool,
+        transaction: &mut TransactionBuilder,
+        is_due: fn(&MachineGroup) -> bool,
     ) {
-        let mut empty = vec![];
-        for number in groups_to_write(&self.cluster.machine_groups, due) {
-            // What is already full needs no look at the rest.
-            if draft.pending_writes.len() >= draft.max_writes {
-                draft.is_full = true;
+        let mut empty_groups = vec![];
+        for number in groups_to_write(&self.cluster.machine_groups, is_due) {
+            // Once it is full, the other records need not be put together.
+            if transaction.has_no_write_left() {
+                transaction.is_full = true;
                 break;
             }
-            let Some(shard) = self.cluster.machine_groups.get_mut(&number) else {
-                continue;
-            };
-            let Some(version) = shard.stored_state.revision else {
-                continue;
-            };
-            let (record, new) = machine_group_record(&self.cluster.machines, &shard.machines);
-            let size = json_size_bytes(&record);
-            // Its bytes were counted too low; the next flush divides it.
-            if size > self.cluster.max_value_bytes {
-                shard.estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
-                continue;
-            }
-            let n = number;
-            let named: BTreeSet<String> = record.machines.iter().map(|m| m.0.clone()).collect();
-            let jobs = record.jobs.iter().map(|j| j.0.clone()).collect();
-            let (value, item) = if !named.is_empty() {
-                (
-                    Some(StoredRecord::MachineGroup(record)),
-                    PendingWrite::MachineGroup {
-                        machine_group: n,
-                        new_placements: new,
-                    },
-                )
-            } else if version != 0 {
-                (None, PendingWrite::DeleteMachineGroup { machine_group: n })
-            } else {
-                empty.push(n);
-                continue;
-            };
-            if !draft.add_write(machine_group_key(n), version, value, item) {
-                continue;
+            if self.add_machine_group_write(transaction, number) == GroupWrite::NothingStored {
+                empty_groups.push(number);
             }
-            shard.estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
-            shard.jobs = jobs;
-            shard.stored_state.dirty = false;
-            shard.stored_state.stale = false;
-            shard.stored_state.write_in_flight = true;
-            shard.is_urgent = false;
-            // Machines without tasks need no record; they may go to another.
-            for id in std::mem::replace(&mut shard.machines, named) {
-                if !shard.machines.contains(&id) {
-                    if let Some(mut m) = self.cluster.machines.edit(&id) {
-                        m.machine_group = None;
-                    }
-                }
+        }
+        for number in empty_groups {
+            if let Some(group) = self.cluster.machine_groups.remove(&number) {
+                self.leave_group(group.machines);
             }
         }
-        for n in empty {
-            if let Some(s) = self.cluster.machine_groups.remove(&n) {
-                for id in s.machines {
-                    if let Some(mut m) = self.cluster.machines.edit(&id) {
-                        m.machine_group = None;
-                    }
-                }
+    }
+
+    fn add_machine_group_write(
+        &mut self,
+        transaction: &mut TransactionBuilder,
+        number: u32,
+    ) -> GroupWrite {
+        let Some(group) = self.cluster.machine_groups.get_mut(&number) else {
+            return GroupWrite::Handled;
+        };
+        let Some(revision) = group.stored_state.revision else {
+            return GroupWrite::Handled;
+        };
+        let MachineGroupSnapshot {
+            record,
+            new_placements,
+        } = machine_group_snapshot(&self.cluster.machines, &group.machines);
+        let size = json_size_bytes(&record);
+        let estimated_bytes = size + MACHINE_GROUP_OVERHEAD_BYTES;
+        // Its bytes were estimated too low; the next commit divides it.
+        if size > self.cluster.max_value_bytes {
+            group.estimated_bytes = estimated_bytes;
+            return GroupWrite::Handled;
+        }
+        let machines: BTreeSet<String> = record.machines.iter().map(|row| row.0.clone()).collect();
+        let jobs = record.jobs.iter().map(|row| row.0.clone()).collect();
+        let machine_group = number;
+        let (value, write) = if !machines.is_empty() {
+            let write = PendingWrite::MachineGroup {
+                machine_group,
+                new_placements,
+            };
+            (Some(StoredRecord::MachineGroup(record)), write)
+        } else if revision != 0 {
+            (None, PendingWrite::DeleteMachineGroup { machine_group })
+        } else {
+            return GroupWrite::NothingStored;
+        };
+        if !transaction.add_write(machine_group_key(number), revision, value, write) {
+            return GroupWrite::Handled;
+        }
+        group.estimated_bytes = estimated_bytes;
+        group.jobs = jobs;
+        group.stored_state.dirty = false;
+        group.stored_state.stale = false;
+        group.stored_state.write_in_flight = true;
+        group.is_urgent = false;
+        // Machines without tasks need no record; they may join another group.
+        let mut previous = std::mem::replace(&mut group.machines, machines);
+        previous.retain(|machine_id| !group.machines.contains(machine_id));
+        self.leave_group(previous);
+        GroupWrite::Handled
+    }
+
+    fn leave_group(&mut self, machine_ids: BTreeSet<String>) {
+        for machine_id in machine_ids {
+            if let Some(mut machine) = self.cluster.machines.edit(&machine_id) {
+                machine.machine_group = None;
             }
         }
     }
--- a/crates/control/src/leader/machine_group_records_tests.rs
+++ b/crates/control/src/leader/machine_group_records_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::cluster::StoredState;
 
 #[test]
 fn no_group_record_starves_behind_others() {
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -1,5 +1,12 @@
-use super::fixture_tests::*;
-use super::*;
+use super::fixture_tests::{job_spec, machine_id, AnswerMode, FakeStore, LeaderFixture};
+use super::Leader;
+use crate::cluster::{Machine, MachineGroup, Phase, Placement};
+use crate::records::{
+    machine_group_key, JobEnd, JobRecord, JobRow, MachineGroupRecord, MachineRow, StoredRecord,
+    TaskRow,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use stonegw_wire::msg::json_size_bytes;
 
 const LARGE_VALUE_BYTES: usize = 8 * 1024;
 const SMALL_VALUE_BYTES: usize = 2 * 1024;
@@ -128,7 +135,7 @@
     let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 32);
     let mut leader = world.start_leader(2);
     let all = stored_placements(&world.store);
-    leader.next_batch_at = world.now_ms + 1_000;
+    leader.writer.next_batch_at = world.now_ms + 1_000;
     run_until_all_stored(&mut world, &mut leader, &all);
 }
 
@@ -152,7 +159,7 @@
     let mut world = LeaderFixture::new(state, LARGE_VALUE_BYTES, 1);
     let mut leader = world.start_leader(2);
     assert_placed_once(&leader);
-    leader.next_batch_at = world.now_ms + 1_000;
+    leader.writer.next_batch_at = world.now_ms + 1_000;
     run_until_all_stored(&mut world, &mut leader, &all);
     assert_placed_once(&leader);
 }
@@ -316,8 +323,8 @@
         .get(&machine_id(1))
         .and_then(|m| m.machine_group);
     assert!(record.is_some_and(|n| n != 0), "not moved");
-    leader.next_batch_at = world.now_ms + 1_000;
-    leader.collect_garbage_at = world.now_ms;
+    leader.writer.next_batch_at = world.now_ms + 1_000;
+    leader.writer.collect_garbage_at = world.now_ms;
 }
 
 fn run_until_next_transaction(world: &mut LeaderFixture, leader: &mut Leader) {
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -1,189 +1,232 @@
-//! Machines that fall silent or don't hear us, and machines that are gone.
-use super::*;
+//! Machines that are silent or unreachable, and machines that are gone.
+use super::outage_detector::{FleetCounts, OutageDetector};
+use super::{Leader, Stage};
+use crate::api::Millis;
+use crate::cluster::{Lifecycle, Machine, Placement, Reachability, WithdrawScope};
+use crate::context::LeaderContext;
+use crate::settings::Settings;
 use stonegw_constants::{
-    DELETED_MACHINE_RETENTION_MS, DIRECT_COMMAND_TIMEOUT_MS, LOST_LEASE_MULTIPLE,
-    LOST_URGENT_MARGIN_MS, MASS_SILENCE_FRACTION, MASS_SILENCE_MIN_MACHINES, UNREACHABLE_MS,
-    UNREACHABLE_PROBE_INTERVAL_MS, WORKER_ATTEMPT_TIMEOUT_MS, ZONE_PARTITION_FRACTION,
+    DELETED_MACHINE_RETENTION_MS, LOST_LEASE_MULTIPLE, LOST_URGENT_MARGIN_MS, UNREACHABLE_MS,
+    WORKER_ATTEMPT_TIMEOUT_MS,
 };
 
-/// How many machines count, how many of them are silent, and how many don't hear us.
-#[derive(Clone, Copy, Default)]
-struct MachineCounts {
-    total: usize,
-    silent: usize,
-    unreachable: usize,
-    /// Heard through the state service only.
-    via_store: usize,
+/// Timeouts are so many times longer during an outage of many machines.
+const OUTAGE_TIMEOUT_MULTIPLE: u64 = 3;
+/// A heartbeat is late after so many intervals.
+const LATE_HEARTBEAT_INTERVALS: f64 = 1.25;
+/// A machine that the cloud takes back is gone so long after the announced moment.
+const EVICTION_MARGIN_MS: Millis = 2_000;
+/// A silent machine that so many listings of the cloud lack is gone.
+const LOST_ABSENT_LISTINGS: u32 = 2;
+
+/// After how long a silent or unreachable machine is declared lost.
+struct LossTimeouts {
+    silence_ms: Millis,
+    /// For machines with urgent tasks or tasks of a gang.
+    urgent_silence_ms: Millis,
+    /// For machines in a partitioned zone.
+    partitioned_silence_ms: Millis,
+    unreachable_ms: Millis,
+    /// The trouble may be a machine's own: urgent tasks need not wait for the longer timeout.
+    urgent_allowed: bool,
+}
+
+impl LossTimeouts {
+    fn new(
+        settings: &Settings,
+        outages: &OutageDetector,
+        counts: &FleetCounts,
+        now: Millis,
+    ) -> LossTimeouts {
+        let lease_ms = (settings.worker_lease_s * 1e3) as u64;
+        let normal_ms = (settings.worker_lease_s * LOST_LEASE_MULTIPLE * 1e3) as u64;
+        let late_ms = (settings.heartbeat_interval_s * LATE_HEARTBEAT_INTERVALS * 1e3) as u64;
+        let urgent_ms = late_ms + 2 * WORKER_ATTEMPT_TIMEOUT_MS + LOST_URGENT_MARGIN_MS;
+        let mass_silence = outages.is_mass_silence(now);
+        let silence_ms = if mass_silence {
+            normal_ms * OUTAGE_TIMEOUT_MULTIPLE
+        } else {
+            normal_ms
+        };
+        // One that is unreachable is of no use; by its lease's end nothing runs there any more.
+        let unreachable_ms = if outages.is_mass_unreachability(now) {
+            lease_ms * OUTAGE_TIMEOUT_MULTIPLE
+        } else {
+            lease_ms
+        };
+        LossTimeouts {
+            silence_ms,
+            urgent_silence_ms: urgent_ms.min(normal_ms),
+            partitioned_silence_ms: silence_ms.max(lease_ms * OUTAGE_TIMEOUT_MULTIPLE),
+            unreachable_ms,
+            urgent_allowed: counts.few_are_silent() || !mass_silence,
+        }
+    }
+}
+
+/// What a check of all machines found.
+#[derive(Default)]
+struct CheckResult {
+    /// Machines that are declared lost.
+    lost: Vec<String>,
+    /// Machines with placements to be withdrawn.
+    withdrawals: Vec<(String, WithdrawScope)>,
 }
 
 impl Leader {
+    /// Declares machines lost that were silent or unreachable for too long, and withdraws
+    /// placements that are not to start any more. Resigns if no machine sends heartbeats.
     pub(super) fn check_machines(&mut self, context: &LeaderContext) {
         let now = context.now.monotonic_ms;
-        let report_s = context.settings.heartbeat_interval_s;
-        let lease_ms = (context.settings.worker_lease_s * 1e3) as u64;
-        let lost_ms = (context.settings.worker_lease_s * LOST_LEASE_MULTIPLE * 1e3) as u64;
-        let settled = self.stage == Stage::Active && self.lease_is_valid(context);
-        let mut total = MachineCounts::default();
-        let mut zones: HashMap<&str, MachineCounts> = HashMap::new();
-        // Machines that a predecessor left with tasks count before they are heard.
-        for m in self.cluster.machines.values() {
-            if (m.last_heartbeat_at.is_some() || m.loaded_from_store)
-                && m.lifecycle != Lifecycle::Terminating
-            {
-                let quiet = usize::from(m.is_silent(now, report_s));
-                let deaf = usize::from(m.is_unreachable());
-                let via_state = usize::from(m.via_store && quiet == 0);
-                for t in [&mut total, zones.entry(&m.zone).or_default()] {
-                    t.total += 1;
-                    t.silent += quiet;
-                    t.unreachable += deaf;
-                    t.via_store += via_state;
-                }
+        let settings = context.settings;
+        let may_declare_lost = self.stage == Stage::Active && self.lease_is_valid(context);
+        let interval_s = settings.heartbeat_interval_s;
+        let counts = FleetCounts::of_machines(&self.cluster.machines, now, interval_s);
+        // Workers try one node after the other: by then the last should be back.
+        let outage_until = now
+            + WORKER_ATTEMPT_TIMEOUT_MS * (settings.peers.len() as u64 + 1)
+            + (interval_s * 1e3) as u64;
+        if may_declare_lost {
+            self.outages.record_fleet(&counts, outage_until);
+            if counts.all.total > 1 && context.may_resign && self.no_machine_is_heard(now) {
+                return self.resign();
             }
         }
-        let part = |n: usize, p: f64| n as f64 > total.total as f64 * p;
-        // What ends does not end for all at once: those that come back later are waited for.
-        let later = now
-            + WORKER_ATTEMPT_TIMEOUT_MS * (context.settings.peers.len() as u64 + 1)
-            + (report_s * 1e3) as u64;
-        // When many fall silent together, the trouble is more likely ours, or a cut that ends.
-        if settled
-            && total.silent > MASS_SILENCE_MIN_MACHINES
-            && part(total.silent, MASS_SILENCE_FRACTION)
-        {
-            self.mass_silence_until = later;
-        }
-        let many = now < self.mass_silence_until;
-        // The same holds when many don't hear us, until the last may hear again.
-        if settled
-            && total.unreachable > MASS_SILENCE_MIN_MACHINES
-            && part(total.unreachable, MASS_SILENCE_FRACTION)
-        {
-            self.mass_unreachable_until = later;
-        }
-        let many_deaf = now < self.mass_unreachable_until;
-        if settled && total.total > 1 && context.may_resign {
-            let last = self
-                .cluster
-                .machines
-                .values()
-                .filter_map(|m| m.last_heartbeat_at)
-                .max();
-            if last.is_some_and(|at| now > at.max(self.term_began_at) + UNREACHABLE_MS) {
-                log::warn!("term {}: no machine is heard; resigning", self.term);
-                self.resigned = true;
-                self.deposed = true;
-                return;
+        self.outages.record_zones(&counts, outage_until);
+        let timeouts = LossTimeouts::new(settings, &self.outages, &counts, now);
+        let result = self.check_each_machine(now, interval_s, may_declare_lost, &timeouts);
+        for machine_id in result.lost {
+            // Its deletion will be the proof that nothing on it runs any more.
+            if let Some(mut machine) = self.cluster.machines.edit(&machine_id) {
+                machine.set_lifecycle(Lifecycle::Terminating);
             }
         }
-        let period = (report_s * 1.25 * 1e3) as u64;
-        let urgent_ms =
-            (period + 2 * WORKER_ATTEMPT_TIMEOUT_MS + LOST_URGENT_MARGIN_MS).min(lost_ms);
-        let few = total.silent <= MASS_SILENCE_MIN_MACHINES || !many;
-        // Nearly a whole zone that falls silent, or is heard by a node beside it only, is most
-        // likely cut off, and comes back.
-        for (zone, t) in zones {
-            let away = t.silent + t.via_store;
-            if away > MASS_SILENCE_MIN_MACHINES
-                && away as f64 >= t.total as f64 * ZONE_PARTITION_FRACTION
-            {
-                self.zones_partitioned_until.insert(zone.to_owned(), later);
-            }
+        for (machine_id, scope) in result.withdrawals {
+            self.cluster.withdraw_unsent(&machine_id, scope);
         }
-        let cut_until = &self.zones_partitioned_until;
-        let cut = |zone: &str| cut_until.get(zone).is_some_and(|until| now < *until);
-        let lost_ms = if many { lost_ms * 3 } else { lost_ms };
-        let urgent = |m: &Machine| {
-            m.placements.iter().any(|p| {
-                let work = self.cluster.jobs.get(&p.job).filter(|_| p.is_present());
-                // A gang can't go on elsewhere until each of its tasks is proven gone.
-                work.is_some_and(|w| w.is_urgent() || w.gang.is_some())
-            })
-        };
-        // Where unsent placements are to be taken back: all of them, or those of ended jobs.
-        let (mut lost, mut unsent) = (vec![], vec![]);
-        for m in self.cluster.machines.values() {
-            let quiet = m.is_silent(now, report_s);
-            let quiet_ms = now.saturating_sub(m.last_heartbeat_at.unwrap_or(m.known_since));
-            let mattered = m.last_heartbeat_at.is_some() || !m.placements.is_empty();
-            if m.lifecycle != Lifecycle::Terminating && settled && mattered {
-                let taken = m.eviction_at.is_some_and(|t| now > t + 2_000);
-                let vanished = m.absent_listings >= 2 || taken;
-                // Most are heard: what they hold need not be looked at.
-                let over = quiet_ms > urgent_ms
-                    && quiet_ms
-                        > if cut(&m.zone) {
-                            lost_ms.max(3 * lease_ms)
-                        } else if few && !m.via_store && urgent(m) {
-                            urgent_ms
-                        } else {
-                            lost_ms
-                        };
-                // One that is heard but does not hear us is of no use; by its lease's end
-                // nothing runs there any more.
-                let deaf_ms = if many_deaf { 3 * lease_ms } else { lease_ms };
-                let deaf = match m.reachability {
-                    Reachability::Unreachable { since } => now > since + deaf_ms,
-                    _ => false,
-                };
-                if over || (vanished && quiet) || deaf {
-                    log::warn!("machine {} is lost after {quiet_ms} ms, deaf {deaf}", m.id);
-                    lost.push(m.id.clone());
-                }
+        self.cluster
+            .deleted_machines
+            .retain(|_, deleted_at| now < *deleted_at + DELETED_MACHINE_RETENTION_MS);
+    }
+
+    /// Whether all machines have been silent for so long that the fault must be ours.
+    fn no_machine_is_heard(&self, now: Millis) -> bool {
+        let machines = self.cluster.machines.values();
+        let last_heartbeat_at = machines
+            .filter_map(|machine| machine.last_heartbeat_at)
+            .max();
+        last_heartbeat_at.is_some_and(|at| now > at.max(self.term_began_at) + UNREACHABLE_MS)
+    }
+
+    fn resign(&mut self) {
+        log::warn!("term {}: no heartbeats arrive; resigning", self.term);
+        self.resigned = true;
+        self.deposed = true;
+    }
+
+    fn check_each_machine(
+        &self,
+        now: Millis,
+        heartbeat_interval_s: f64,
+        may_declare_lost: bool,
+        timeouts: &LossTimeouts,
+    ) -> CheckResult {
+        let mut result = CheckResult::default();
+        for machine in self.cluster.machines.values() {
+            let is_silent = machine.is_silent(now, heartbeat_interval_s);
+            if may_declare_lost && self.is_lost(machine, is_silent, now, timeouts) {
+                result.lost.push(machine.id.clone());
             }
-            let no_more = matches!(m.lifecycle, Lifecycle::Draining | Lifecycle::Terminating)
-                || quiet
-                || m.is_unreachable();
-            let any = !m.placements.is_empty() || !m.queued.is_empty();
-            let ended = |p: &Placement| {
-                p.is_unsent()
-                    && (p.stop_grace_s.is_some() || !self.cluster.jobs.contains_key(&p.job))
-            };
-            if no_more && any || m.placements.iter().any(ended) {
-                unsent.push((m.id.clone(), no_more));
+            if let Some(scope) = self.withdraw_scope(machine, is_silent) {
+                result.withdrawals.push((machine.id.clone(), scope));
             }
         }
-        for id in lost {
-            // The delete is the proof that everything on it is gone.
-            if let Some(mut m) = self.cluster.machines.edit(&id) {
-                m.set_lifecycle(Lifecycle::Terminating);
-            }
+        result
+    }
+
+    fn is_lost(
+        &self,
+        machine: &Machine,
+        is_silent: bool,
+        now: Millis,
+        timeouts: &LossTimeouts,
+    ) -> bool {
+        let was_in_use = machine.last_heartbeat_at.is_some() || !machine.placements.is_empty();
+        if machine.lifecycle == Lifecycle::Terminating || !was_in_use {
+            return false;
         }
-        for (id, closing) in unsent {
-            self.cluster.withdraw_unsent(&id, closing);
+        let silent_since = machine.last_heartbeat_at.unwrap_or(machine.known_since);
+        let silence_ms = now.saturating_sub(silent_since);
+        let was_evicted = machine
+            .eviction_at
+            .is_some_and(|at| now > at + EVICTION_MARGIN_MS);
+        let is_gone = machine.absent_listings >= LOST_ABSENT_LISTINGS || was_evicted;
+        let silent_too_long = self.is_silent_too_long(machine, silence_ms, now, timeouts);
+        let unreachable_too_long = match machine.commands.reachability {
+            Reachability::Unreachable { since } => now > since + timeouts.unreachable_ms,
+            Reachability::Reachable | Reachability::Suspected { .. } => false,
+        };
+        let is_lost = silent_too_long || (is_gone && is_silent) || unreachable_too_long;
+        if is_lost {
+            log::warn!(
+                "machine {} is lost after {silence_ms} ms of silence, \
+                 unreachable: {unreachable_too_long}",
+                machine.id
+            );
         }
-        self.cluster
-            .deleted_machines
-            .retain(|_, at| now < *at + DELETED_MACHINE_RETENTION_MS);
+        is_lost
     }
 
-    /// Asks machines that don't hear us, or are not trusted to: an answer shows that they do again.
-    /// Nothing else would, for nothing is sent there.
-    pub(super) fn probe_unreachable_machines(&mut self, context: &mut LeaderContext) {
-        let now = context.now.monotonic_ms;
-        let due: Vec<(String, String)> = self
-            .cluster
-            .machines
-            .values()
-            .filter(|m| {
-                !m.is_trusted() && now >= m.next_probe_at && m.lifecycle != Lifecycle::Terminating
-            })
-            .filter_map(|m| Some((m.id.clone(), m.addr.clone()?)))
-            .collect();
-        for (machine, addr) in due {
-            if let Some(mut m) = self.cluster.machines.edit(&machine) {
-                m.next_probe_at = now + UNREACHABLE_PROBE_INTERVAL_MS;
-            }
-            let call = LeaderCall::Probe { machine };
-            let target = Target::Worker(addr);
-            let wait = DIRECT_COMMAND_TIMEOUT_MS;
-            context.send_call(call, target, "GET", "/inspect".into(), vec![], wait);
+    fn is_silent_too_long(
+        &self,
+        machine: &Machine,
+        silence_ms: Millis,
+        now: Millis,
+        timeouts: &LossTimeouts,
+    ) -> bool {
+        // No timeout is shorter: the placements of most machines need not be looked at.
+        if silence_ms <= timeouts.urgent_silence_ms {
+            return false;
         }
+        let timeout_ms = if self.outages.is_partitioned(&machine.zone, now) {
+            timeouts.partitioned_silence_ms
+        } else if timeouts.urgent_allowed && !machine.via_store && self.has_urgent_tasks(machine) {
+            timeouts.urgent_silence_ms
+        } else {
+            timeouts.silence_ms
+        };
+        silence_ms > timeout_ms
     }
 
-    pub(super) fn probe_done(&mut self, context: &mut LeaderContext, id: &str, result: CallResult) {
-        if let Ok((200, body)) = result {
-            self.apply_command_reply(context, id, &body);
+    /// Whether tasks on the machine must be replaced soon: urgent ones, or members of a gang, which
+    /// can't go on elsewhere until each of its tasks is proven to run no more.
+    fn has_urgent_tasks(&self, machine: &Machine) -> bool {
+        machine.placements.iter().any(|placement| {
+            let job = self.cluster.jobs.get(&placement.job);
+            placement.is_present() && job.is_some_and(|job| job.is_urgent() || job.gang.is_some())
+        })
+    }
+
+    /// Which placements are to be withdrawn from the machine, if any.
+    fn withdraw_scope(&self, machine: &Machine, is_silent: bool) -> Option<WithdrawScope> {
+        let takes_no_tasks = matches!(
+            machine.lifecycle,
+            Lifecycle::Draining | Lifecycle::Terminating
+        ) || is_silent
+            || machine.is_unreachable();
+        if takes_no_tasks {
+            let has_tasks = !machine.placements.is_empty() || !machine.queued.is_empty();
+            return has_tasks.then_some(WithdrawScope::Everything);
         }
+        let mut placements = machine.placements.iter();
+        placements
+            .any(|placement| self.is_unsent_and_ended(placement))
+            .then_some(WithdrawScope::EndedJobs)
+    }
+
+    fn is_unsent_and_ended(&self, placement: &Placement) -> bool {
+        let is_unwanted =
+            placement.stop_grace_s.is_some() || !self.cluster.jobs.contains_key(&placement.job);
+        placement.is_unsent() && is_unwanted
     }
 }
