--- /dev/null
+++ b/crates/control/src/leader/reconciliation.rs
@@ -0,0 +1,245 @@
+//! Compares the tasks in a machine's newest heartbeat with the placements that we hold.
+use super::Leader;
+use crate::api::Millis;
+use crate::cluster::{
+    reported_phase, GroupCapacity, HeartbeatKind, Machine, Phase, Placement, TaskKey,
+};
+use crate::context::LeaderContext;
+use crate::records::parse_task_name;
+use stonegw_wire::msg::TaskStatus;
+
+/// A task in a heartbeat that we hold no placement of.
+struct UnknownTask {
+    key: TaskKey,
+    attempt: u64,
+    phase: Phase,
+}
+
+/// What the tasks of one heartbeat show.
+#[derive(Default)]
+struct Reconciliation {
+    /// Which of the machine's placements the heartbeat shows.
+    shown: Vec<bool>,
+    unknown_tasks: Vec<UnknownTask>,
+    /// Tasks that are proven to run no more, since the heartbeat lacks them.
+    absent_tasks: Vec<TaskKey>,
+    /// A command in a heartbeat's reply had its effect.
+    commands_delivered: bool,
+    /// A command in a heartbeat's reply had none.
+    commands_undelivered: bool,
+}
+
+impl Reconciliation {
+    /// Takes over the phases that the heartbeat shows.
+    fn apply_shown_tasks(
+        &mut self,
+        machine: &mut Machine,
+        tasks: &[TaskStatus],
+        kind: HeartbeatKind,
+        now: Millis,
+    ) {
+        self.shown = vec![false; machine.placements.len()];
+        for status in tasks {
+            let Some((job_id, index)) = parse_task_name(&status.task_id) else {
+                log::warn!("{} reports a task named {:?}", machine.id, status.task_id);
+                continue;
+            };
+            let phase = reported_phase(status);
+            let position = machine.placements.iter().position(|placement| {
+                placement.attempt == status.attempt
+                    && placement.index == index
+                    && placement.job == job_id
+            });
+            let Some(position) = position else {
+                let job = job_id.to_owned();
+                self.unknown_tasks.push(UnknownTask {
+                    key: TaskKey { job, index },
+                    attempt: status.attempt,
+                    phase,
+                });
+                continue;
+            };
+            self.shown[position] = true;
+            self.apply_phase(&mut machine.placements[position], phase, kind, now);
+        }
+    }
+
+    fn apply_phase(
+        &mut self,
+        placement: &mut Placement,
+        phase: Phase,
+        kind: HeartbeatKind,
+        now: Millis,
+    ) {
+        if !placement.is_present() {
+            self.commands_undelivered |= placement.forget_sent && kind == HeartbeatKind::Answered;
+            return;
+        }
+        self.commands_delivered |= placement.phase == Phase::Sent && placement.sent_sequence > 0;
+        if phase == Phase::Running && placement.running_at.is_none() {
+            // An inherited task has run for an unknown time.
+            placement.running_at = Some(now);
+        }
+        placement.set_phase(phase);
+    }
+
+    /// Removes placements whose absence from the heartbeat proves that they run no more. It proves
+    /// something only if the worker has seen our term: what an earlier leader sent can then no
+    /// longer start.
+    fn remove_absent(&mut self, machine: &mut Machine, kind: HeartbeatKind) {
+        if !machine.under_current_term {
+            return;
+        }
+        let heartbeat = AbsenceEvidence {
+            is_answered: kind == HeartbeatKind::Answered,
+            sequence: machine.sequence,
+            may_start_late: machine.commands.may_deliver_late(),
+        };
+        let mut position = 0;
+        machine.placements.retain(|placement| {
+            let is_shown = self.shown[position];
+            position += 1;
+            if is_shown {
+                return true;
+            }
+            if placement.phase == Phase::Sent
+                && placement.sent_sequence > 0
+                && heartbeat.is_answered
+            {
+                self.commands_undelivered |= heartbeat.follows_start(placement);
+            }
+            let remove = heartbeat.proves_termination(placement);
+            self.commands_delivered |= remove && placement.forget_sent;
+            // What exited was requeued when it did.
+            if remove && placement.is_present() {
+                self.absent_tasks.push(placement.task_key());
+            }
+            !remove
+        });
+    }
+
+    fn update_reachability(&self, machine: &mut Machine, now: Millis) {
+        if self.commands_delivered {
+            machine.commands.record_delivered(&machine.id);
+        } else if self.commands_undelivered {
+            machine.commands.record_undelivered(&machine.id, now);
+        }
+    }
+}
+
+/// What a heartbeat made under our term proves about placements that it lacks.
+struct AbsenceEvidence {
+    is_answered: bool,
+    sequence: u64,
+    /// A direct start command may still arrive.
+    may_start_late: bool,
+}
+
+impl AbsenceEvidence {
+    /// Whether the worker sent it after it received the reply with the start command.
+    fn follows_start(&self, placement: &Placement) -> bool {
+        self.sequence > placement.sent_sequence
+    }
+
+    fn proves_termination(&self, placement: &Placement) -> bool {
+        // A start command of ours may be on its way: by a direct command without an answer, or in
+        // the reply to a heartbeat that is no older than this one.
+        let no_start_on_its_way =
+            self.is_answered && !self.may_start_late && self.follows_start(placement);
+        match placement.phase {
+            Phase::Unstored | Phase::Stored | Phase::Startable => false,
+            Phase::Exited { outcome_stored, .. } => {
+                outcome_stored && placement.forget_sent && self.is_answered
+            }
+            _ if placement.inherited => true,
+            Phase::Sent => placement.stop_grace_s.is_some() && no_start_on_its_way,
+            _ => no_start_on_its_way,
+        }
+    }
+}
+
+impl Leader {
+    /// Compares the tasks of a machine's newest heartbeat with what we hold.
+    pub(super) fn reconcile_tasks(
+        &mut self,
+        context: &mut LeaderContext,
+        machine_id: &str,
+        tasks: &[TaskStatus],
+        kind: HeartbeatKind,
+    ) {
+        let now = context.now.monotonic_ms;
+        let Some(mut machine) = self.cluster.machines.edit(machine_id) else {
+            return;
+        };
+        let mut reconciliation = Reconciliation::default();
+        reconciliation.apply_shown_tasks(&mut machine, tasks, kind, now);
+        reconciliation.remove_absent(&mut machine, kind);
+        reconciliation.update_reachability(&mut machine, now);
+        drop(machine);
+        if !reconciliation.absent_tasks.is_empty() {
+            self.cluster.mark_group_stale(machine_id);
+        }
+        self.cluster.requeue_tasks(reconciliation.absent_tasks);
+        for task in reconciliation.unknown_tasks {
+            self.adopt_unknown_task(context, machine_id, &task);
+        }
+    }
+
+    /// Adopts a task that we hold nothing of. It counts until it is proven to run no more.
+    fn adopt_unknown_task(
+        &mut self,
+        context: &mut LeaderContext,
+        machine_id: &str,
+        task: &UnknownTask,
+    ) {
+        let now = context.now.monotonic_ms;
+        let UnknownTask {
+            key,
+            attempt,
+            phase,
+        } = task;
+        let (job_id, index) = (key.job.as_str(), key.index);
+        let is_present = phase.is_present();
+        if is_present {
+            log::warn!("adopting unknown task {job_id}/{index}#{attempt} on {machine_id}");
+        }
+        let replicated_job = context.replica.jobs.get(job_id);
+        let spec = replicated_job.and_then(|job| job.record.spec.as_ref());
+        let is_wanted = !self.cluster.machines.is_present(job_id, index)
+            && self.cluster.jobs.contains_key(job_id);
+        // What has exited needs no record.
+        let group = is_present
+            .then(|| {
+                let capacity = GroupCapacity::Ignored;
+                self.cluster
+                    .assign_machine_group(machine_id, job_id, capacity)
+            })
+            .flatten();
+        let Some(mut machine) = self.cluster.machines.edit(machine_id) else {
+            return;
+        };
+        machine.placements.push(Placement {
+            cpus: spec.map_or(0.0, |spec| spec.cpus),
+            gpus: spec.map_or(0.0, |spec| spec.gpus),
+            memory_gb: spec.map_or(0.0, |spec| spec.memory_gb),
+            team: spec.map_or(String::new(), |spec| spec.team.clone()),
+            inherited: true,
+            stop_grace_s: (!is_wanted).then_some(0.0),
+            running_at: Some(now),
+            ..Placement::new(job_id, index, *attempt, *phase)
+        });
+        if !is_present {
+            return;
+        }
+        machine.machine_group = group;
+        drop(machine);
+        let group = group.and_then(|number| self.cluster.machine_groups.get_mut(&number));
+        if let Some(group) = group {
+            group.add_task(now, job_id);
+        }
+        if let Some(job) = self.cluster.jobs.get_mut(job_id) {
+            job.remove_pending(index);
+            self.cluster.dequeue(job_id, index);
+        }
+    }
+}
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -1,134 +1,178 @@
 //! Puts the ends and the results of jobs that are due into a transaction.
 use super::transaction_builder::TransactionBuilder;
-use super::*;
+use super::Leader;
+use crate::api::Millis;
+use crate::cluster::{JobState, Machines, PendingWrite, Phase, PlacementRef};
+use crate::context::LeaderContext;
+use crate::records::{
+    job_key, result_chunk_key, JobEnd, JobRecord, ResultChunkRecord, StoredRecord,
+};
+use crate::scheduling::estimates::RunTimeEstimates;
 use stonegw_constants::{
     LEADER_WRITE_FRACTION, RESULT_CHUNK_TASKS, RESULT_COMMIT_DELAY_MS, RESULT_WRITE_FRACTION,
 };
+use stonegw_wire::msg::ExitCause;
+
+/// Placements of a job's done tasks, or of those in one chunk, whose outcome is not stored.
+fn done_placements(machines: &Machines, job_id: &str, chunk: Option<u32>) -> Vec<PlacementRef> {
+    let done = Phase::Exited {
+        cause: ExitCause::Done,
+        outcome_stored: false,
+    };
+    let in_chunk = |index: u32| chunk.is_none_or(|chunk| index / RESULT_CHUNK_TASKS == chunk);
+    let mut done_placements = vec![];
+    for machine_id in machines.machines_of_job(job_id) {
+        let machine = machines.get(&machine_id);
+        for placement in machine.iter().flat_map(|machine| &machine.placements) {
+            if placement.job == job_id && placement.phase == done && in_chunk(placement.index) {
+                done_placements.push(PlacementRef {
+                    machine: machine_id.clone(),
+                    attempt: placement.attempt,
+                });
+            }
+        }
+    }
+    done_placements
+}
+
+/// Results being added to a transaction.
+struct ResultWriter<'a> {
+    machines: &'a Machines,
+    estimates: &'a RunTimeEstimates,
+    /// Chunks that changed after this moment wait for more results.
+    due_before: Option<Millis>,
+    /// How many more chunks may be added.
+    remaining: usize,
+}
 
-/// What was done of a job, or of one chunk of it, and is still shown by a worker.
-fn done_placements(machines: &Machines, job: &str, chunk: Option<u32>) -> Vec<PlacementRef> {
-    let mut out = vec![];
-    for id in machines.machines_of_job(job) {
-        for p in machines.get(&id).iter().flat_map(|m| &m.placements) {
-            let done = Phase::Exited {
-                cause: ExitCause::Done,
-                outcome_stored: false,
+impl ResultWriter<'_> {
+    /// Adds the due chunks of a job.
+    fn add_chunks(
+        &mut self,
+        transaction: &mut TransactionBuilder,
+        job_id: &str,
+        job: &mut JobState,
+    ) {
+        for (number, chunk) in &mut job.result_chunks {
+            let stored_state = &mut chunk.stored_state;
+            let (true, Some(revision), false) = (
+                stored_state.dirty,
+                stored_state.revision,
+                stored_state.write_in_flight,
+            ) else {
+                continue;
             };
-            let here = chunk.is_none_or(|c| p.index / RESULT_CHUNK_TASKS == c);
-            if p.job == job && p.phase == done && here {
-                out.push((id.clone(), p.attempt));
+            let is_due = self.due_before.is_some_and(|at| chunk.dirty_since <= at);
+            if !is_due || self.remaining == 0 {
+                continue;
+            }
+            let first_task = number * RESULT_CHUNK_TASKS;
+            let write = PendingWrite::ResultChunk {
+                job: job_id.to_owned(),
+                chunk: *number,
+                exited_placements: done_placements(self.machines, job_id, Some(*number)),
+            };
+            let (observed_runs, mean_run_s) = self.estimates.observed_runs(job_id);
+            let record = StoredRecord::ResultChunk(ResultChunkRecord {
+                done_bitmap: job.done_tasks.encode(first_task, RESULT_CHUNK_TASKS),
+                observed_runs,
+                mean_run_s,
+            });
+            let key = result_chunk_key(job_id, *number);
+            if transaction.add_write(key, revision, Some(record), write) {
+                self.remaining -= 1;
+                stored_state.dirty = false;
+                stored_state.write_in_flight = true;
             }
         }
     }
-    out
 }
 
 impl Leader {
-    /// Jobs of which all tasks are done: users wait for it.
+    /// Adds the ends of jobs whose tasks are all done: users wait for these.
     pub(super) fn add_job_end_writes(
         &mut self,
         context: &LeaderContext,
-        draft: &mut TransactionBuilder,
+        transaction: &mut TransactionBuilder,
     ) {
-        for id in &self.cluster.jobs_to_store {
-            let (Some(w), Some(j)) = (self.cluster.jobs.get_mut(id), context.replica.jobs.get(id))
-            else {
+        for job_id in &self.cluster.jobs_to_store {
+            let (Some(job), Some(replicated)) = (
+                self.cluster.jobs.get_mut(job_id),
+                context.replica.jobs.get(job_id),
+            ) else {
                 continue;
             };
-            if w.done_count != w.spec.task_count || w.end_write_in_flight {
+            if job.done_count != job.spec.task_count || job.end_write_in_flight {
                 continue;
             }
+            let estimates = &self.scheduler.state.estimates;
             let record = JobRecord {
                 spec: None,
                 end: Some(JobEnd::Done),
-                observed_run_times: self.scheduler.state.estimates.observed_run_times(&w.spec),
-                ..j.record.clone()
+                observed_run_times: estimates.observed_run_times(&job.spec),
+                ..replicated.record.clone()
             };
-            let item = PendingWrite::JobEnd {
-                job: id.clone(),
-                exited_placements: done_placements(&self.cluster.machines, id, None),
+            let write = PendingWrite::JobEnd {
+                job: job_id.clone(),
+                exited_placements: done_placements(&self.cluster.machines, job_id, None),
             };
             let value = Some(StoredRecord::Job(Box::new(record)));
-            if draft.add_write(job_key(id), j.revision, value, item) {
-                w.end_write_in_flight = true;
+            if transaction.add_write(job_key(job_id), replicated.revision, value, write) {
+                job.end_write_in_flight = true;
             }
         }
     }
 
-    /// Results of jobs that go on. They wait a little, so that one write holds several; the
-    /// worker tells them until they are stored.
+    /// Adds results of jobs that go on, at most `max_chunks`. They wait a little, so that one write
+    /// holds several; the workers report them until they are stored.
     pub(super) fn add_result_writes(
         &mut self,
         context: &LeaderContext,
-        draft: &mut TransactionBuilder,
-        most: usize,
+        transaction: &mut TransactionBuilder,
+        max_chunks: usize,
     ) {
-        let now = context.now.monotonic_ms;
-        // The more jobs have results, the longer each waits: together they take a part of what
-        // may be written.
-        let rate =
-            (context.settings.store_writes_per_s * LEADER_WRITE_FRACTION * RESULT_WRITE_FRACTION)
-                .max(0.1);
-        let wait = RESULT_COMMIT_DELAY_MS
-            .max((self.cluster.jobs_to_store.len() as f64 / rate * 1e3) as u64);
-        let mut left = most;
-        let mut settled = vec![];
-        // In turn, so that none is passed over for long.
-        let next = std::mem::take(&mut self.next_results_job);
-        for id in self
-            .cluster
-            .jobs_to_store
-            .range(next.clone()..)
-            .chain(self.cluster.jobs_to_store.range(..next))
-        {
-            if left == 0 {
-                self.next_results_job = id.clone();
+        let delay_ms = self.result_delay_ms(context);
+        let mut writer = ResultWriter {
+            machines: &self.cluster.machines,
+            estimates: &self.scheduler.state.estimates,
+            due_before: context.now.monotonic_ms.checked_sub(delay_ms),
+            remaining: max_chunks,
+        };
+        let mut stored_jobs = vec![];
+        // In turn, so that no job is passed over for long.
+        let first = std::mem::take(&mut self.writer.next_results_job);
+        let jobs_to_store = &self.cluster.jobs_to_store;
+        let from_first = jobs_to_store.range(first.clone()..);
+        for job_id in from_first.chain(jobs_to_store.range(..first)) {
+            if writer.remaining == 0 {
+                self.writer.next_results_job = job_id.clone();
                 break;
             }
-            let Some(w) = self.cluster.jobs.get_mut(id) else {
-                settled.push(id.clone());
+            let Some(job) = self.cluster.jobs.get_mut(job_id) else {
+                stored_jobs.push(job_id.clone());
                 continue;
             };
-            if w.done_count == w.spec.task_count {
+            if job.done_count == job.spec.task_count {
                 continue;
             }
-            for (n, c) in &mut w.result_chunks {
-                let (true, Some(version), false) = (
-                    c.stored_state.dirty,
-                    c.stored_state.revision,
-                    c.stored_state.write_in_flight,
-                ) else {
-                    continue;
-                };
-                if now < c.dirty_since + wait || left == 0 {
-                    continue;
-                }
-                let bits = w
-                    .done_tasks
-                    .encode(n * RESULT_CHUNK_TASKS, RESULT_CHUNK_TASKS);
-                let item = PendingWrite::ResultChunk {
-                    job: id.clone(),
-                    chunk: *n,
-                    exited_placements: done_placements(&self.cluster.machines, id, Some(*n)),
-                };
-                let (runs, run_s) = self.scheduler.state.estimates.observed_runs(id);
-                let value = StoredRecord::ResultChunk(ResultChunkRecord {
-                    done_bitmap: bits,
-                    observed_runs: runs,
-                    mean_run_s: run_s,
-                });
-                if draft.add_write(result_chunk_key(id, *n), version, Some(value), item) {
-                    left -= 1;
-                    c.stored_state.dirty = false;
-                    c.stored_state.write_in_flight = true;
-                }
-            }
-            if !w.result_chunks.values().any(|c| c.stored_state.dirty) {
-                settled.push(id.clone());
+            writer.add_chunks(transaction, job_id, job);
+            let mut chunks = job.result_chunks.values();
+            if !chunks.any(|chunk| chunk.stored_state.dirty) {
+                stored_jobs.push(job_id.clone());
             }
         }
-        for id in settled {
-            self.cluster.jobs_to_store.remove(&id);
+        for job_id in stored_jobs {
+            self.cluster.jobs_to_store.remove(&job_id);
         }
     }
+
+    /// How long results wait: the more jobs have results, the longer, so that together they take a
+    /// part of what may be written.
+    fn result_delay_ms(&self, context: &LeaderContext) -> Millis {
+        let writes_per_s =
+            (context.settings.store_writes_per_s * LEADER_WRITE_FRACTION * RESULT_WRITE_FRACTION)
+                .max(0.1);
+        let jobs = self.cluster.jobs_to_store.len() as f64;
+        RESULT_COMMIT_DELAY_MS.max((jobs / writes_per_s * 1e3) as u64)
+    }
 }
--- a/crates/control/src/leader/resume_tests.rs
+++ b/crates/control/src/leader/resume_tests.rs
@@ -1,8 +1,8 @@
 //! A leader whose process runs again after a pause.
-use super::fixture_tests::*;
+use super::super::fixture_tests::{machine_id, FakeStore, LeaderFixture};
 use super::*;
-use crate::pause::Pause;
-use stonegw_wire::msg::TaskState;
+use crate::api::Millis;
+use stonegw_wire::msg::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
 const TERM: u64 = 5;
 const ATTEMPT: u64 = 5_000_001;
--- a/crates/control/src/leader/revision_reads.rs
+++ b/crates/control/src/leader/revision_reads.rs
@@ -1,47 +1,52 @@
-//! Reads the stamps of records whose last write is in doubt.
-use super::*;
+//! Reads the revisions of records whose last write is unacknowledged.
+use super::Leader;
+use crate::api::CallResult;
+use crate::calls::LeaderCall;
+use crate::cluster::PendingWrite;
+use crate::context::LeaderContext;
+use serde::de::IgnoredAny;
 use stonegw_constants::STORE_RETRY_BACKOFF_MS;
+use stonegw_wire::msg::{decode, Entry};
 
 impl Leader {
-    /// Reads the stamp of one key whose last write is in doubt.
+    /// Reads the revision of one record whose last write is unacknowledged. False: there is none.
     pub(super) fn read_unacknowledged_revision(&mut self, context: &mut LeaderContext) -> bool {
-        let now = context.now.monotonic_ms;
-        let Some(item) = self.unacknowledged_writes.last().cloned() else {
+        let Some(write) = self.writer.unacknowledged_writes.last().cloned() else {
             return false;
         };
+        let now = context.now.monotonic_ms;
         if context.read_budget.try_take(now, 1.0) {
-            self.revision_read_in_flight = true;
-            let path = format!("/kv/{}", pending_write_key(&item));
-            context.read_store(LeaderCall::ReadRevision { write: item }, path);
+            self.writer.request_in_flight = true;
+            let path = format!("/kv/{}", write.key());
+            context.read_store(LeaderCall::ReadRevision { write }, path);
         }
         true
     }
 
-    /// Takes the stamp that was read.
+    /// Takes the revision that was read.
     pub(super) fn read_revision_done(
         &mut self,
         context: &LeaderContext,
-        item: PendingWrite,
+        write: PendingWrite,
         result: CallResult,
     ) {
-        self.revision_read_in_flight = false;
-        let version = match result {
-            Ok((200, body)) => decode::<Entry<serde::de::IgnoredAny>>(&body)
-                .map(|e| e.revision)
+        self.writer.request_in_flight = false;
+        let revision = match result {
+            Ok((200, body)) => decode::<Entry<IgnoredAny>>(&body)
+                .map(|entry| entry.revision)
                 .ok(),
             Ok((404, _)) => Some(0),
             _ => None,
         };
-        match version {
-            Some(v) => {
-                self.unacknowledged_writes.pop();
-                if let Some(s) = self.stored_state_of(&item) {
-                    s.revision = Some(v);
-                    s.write_in_flight = false;
-                    s.dirty = true;
-                }
-            }
-            None => self.next_commit_at = context.now.monotonic_ms + STORE_RETRY_BACKOFF_MS,
+        let Some(revision) = revision else {
+            self.writer.next_commit_at = context.now.monotonic_ms + STORE_RETRY_BACKOFF_MS;
+            return;
+        };
+        self.writer.unacknowledged_writes.pop();
+        if let Some(stored_state) = self.stored_state_of(&write) {
+            stored_state.revision = Some(revision);
+            stored_state.write_in_flight = false;
+            stored_state.dirty = true;
         }
     }
 }
--- a/crates/control/src/leader/task_failures_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -1,5 +1,6 @@
-use super::super::fixture_tests::*;
+use super::super::fixture_tests::{machine_id, FakeStore, LeaderFixture};
 use super::*;
+use crate::cluster::Machine;
 use stonegw_constants::START_BACKOFF_MS;
 
 /// A leader with some machines that are up and some jobs of four tasks.
--- a/crates/control/src/leader/transaction_builder.rs
+++ b/crates/control/src/leader/transaction_builder.rs
@@ -1,28 +1,38 @@
-//! The draft of a transaction: its conditions, its writes and the room left in it.
-use super::*;
+//! A transaction being put together: its conditions, its writes and the capacity left in it.
+use crate::cluster::PendingWrite;
+use crate::records::{StoredRecord, LEADER_KEY};
+use crate::store_limits::TransactionSize;
 use stonegw_constants::{MAX_TXN_BYTES, TXN_MARGIN_BYTES};
+use stonegw_wire::msg::{json_size_bytes, Condition, Txn, Write};
+
+/// Bytes of JSON around the key and the value of one write with its condition, at most.
+const WRITE_OVERHEAD_BYTES: usize = 120;
 
 /// A transaction being put together.
 pub(super) struct TransactionBuilder {
+    /// What is sent to the store.
     pub(super) transaction: Txn<StoredRecord>,
+    /// What its writes are for, in the same order.
     pub(super) pending_writes: Vec<PendingWrite>,
     bytes: usize,
+    /// Its size, as far as the store limits it.
     pub(super) size: TransactionSize,
+    /// How many writes it may hold.
     pub(super) max_writes: usize,
-    /// Something found no room in it.
+    /// Some write did not fit.
     pub(super) is_full: bool,
 }
 
 impl TransactionBuilder {
-    /// An empty one, which holds only while the leader key has this term.
+    /// An empty one, which is applied only while the leader key has this term.
     pub(super) fn new(term: u64, max_writes: usize) -> TransactionBuilder {
-        let ours = Condition {
+        let is_leader = Condition {
             key: LEADER_KEY.into(),
             revision: term,
         };
         TransactionBuilder {
             transaction: Txn {
-                conditions: vec![ours],
+                conditions: vec![is_leader],
                 writes: vec![],
             },
             pending_writes: vec![],
@@ -33,25 +43,26 @@
         }
     }
 
-    /// Adds a write that replaces `version`. False if it does not fit any more.
+    /// Adds a write that replaces `revision`; without a value it deletes the key. False: it does
+    /// not fit any more.
     pub(super) fn add_write(
         &mut self,
         key: String,
-        version: u64,
+        revision: u64,
         value: Option<StoredRecord>,
-        item: PendingWrite,
+        pending_write: PendingWrite,
     ) -> bool {
         let value_bytes = value.as_ref().map_or(0, json_size_bytes);
-        let size = value_bytes + 2 * key.len() + 120;
-        if self.pending_writes.len() >= self.max_writes || self.bytes + size > MAX_TXN_BYTES {
+        let write_bytes = value_bytes + 2 * key.len() + WRITE_OVERHEAD_BYTES;
+        if self.has_no_write_left() || self.bytes + write_bytes > MAX_TXN_BYTES {
             self.is_full = true;
             return false;
         }
-        self.bytes += size;
+        self.bytes += write_bytes;
         self.size.add_write(value_bytes);
         self.transaction.conditions.push(Condition {
             key: key.clone(),
-            revision: version,
+            revision,
         });
         self.transaction.writes.push(match value {
             Some(value) => Write::Put {
@@ -61,7 +72,12 @@
             },
             None => Write::Delete { key },
         });
-        self.pending_writes.push(item);
+        self.pending_writes.push(pending_write);
         true
     }
+
+    /// Whether it holds as many writes as it may.
+    pub(super) fn has_no_write_left(&self) -> bool {
+        self.pending_writes.len() >= self.max_writes
+    }
 }
--- a/crates/control/src/scheduling/gang_lifecycle.rs
+++ b/crates/control/src/scheduling/gang_lifecycle.rs
@@ -202,7 +202,7 @@
                     context.settings.heartbeat_interval_s,
                 ) && !m.via_store
                     && m.under_current_term;
-                heard && m.is_trusted() && m.command_in_flight.is_none() && m.addr.is_some()
+                heard && m.is_trusted() && m.commands.call_in_flight.is_none() && m.addr.is_some()
             })
         })
     }
