--- a/crates/control/src/cluster/job_state.rs
+++ b/crates/control/src/cluster/job_state.rs
@@ -141,7 +141,8 @@
 
     /// How long a waiting gang has waited.
     pub(crate) fn gang_waited_ms(&self, now: Now) -> Millis {
-        let ended_at = self.gang.as_ref().and_then(|g| g.last_attempt_ended_at);
+        let gang = self.gang.as_ref();
+        let ended_at = gang.and_then(|gang| gang.last_attempt_ended_at);
         let age = now.wall_ms.saturating_sub(self.submitted_at_ms);
         ended_at.map_or(age, |at| now.monotonic_ms.saturating_sub(at))
     }
--- a/crates/control/src/cluster/machine_removal.rs
+++ b/crates/control/src/cluster/machine_removal.rs
@@ -1,4 +1,4 @@
-//! What becomes of the tasks of machines that take no more work or are gone.
+//! What becomes of the tasks of machines that get no more tasks or run no more.
 use super::{ClusterState, Phase, TaskKey, TerminationEvidence};
 use crate::api::Millis;
 
@@ -45,9 +45,10 @@
                     .map(|(job, index)| TaskKey { job, index }),
             );
             if machine.is_unreachable() {
-                let sent = |phase: Phase| phase == Phase::Sent;
-                for placement in machine.placements.iter_mut().filter(|p| sent(p.phase)) {
-                    placement.stop_grace_s.get_or_insert(0.0);
+                for placement in &mut machine.placements {
+                    if placement.phase == Phase::Sent {
+                        placement.stop_grace_s.get_or_insert(0.0);
+                    }
                 }
             }
         }
--- a/crates/control/src/cluster/mod.rs
+++ b/crates/control/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! The state of the cluster: machines, the tasks that may be on them, jobs, and the records that hold them.
+//! The state of the cluster as the leader holds it: machines, the tasks that may be on them, jobs,
+//! and the records that store them.
 mod command_channel;
 mod eligibility;
 mod failures;
--- a/crates/control/src/cluster/placement.rs
+++ b/crates/control/src/cluster/placement.rs
@@ -3,7 +3,7 @@
 use crate::api::Millis;
 use crate::records::task_name;
 use crate::resources::Resources;
-use stonegw_wire::msg::ExitCause;
+use stonegw_wire::msg::{ExitCause, JobSpec};
 
 /// How far a placement is, from the decision until it is proven to run no more.
 ///
@@ -108,6 +108,17 @@
         }
     }
 
+    /// Fills in what a task of the job takes and whose limit it counts towards.
+    pub fn with_requirements(self, spec: &JobSpec) -> Placement {
+        Placement {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+            team: spec.team.clone(),
+            ..self
+        }
+    }
+
     /// The task's name, from its job and number.
     pub fn task_name(&self) -> String {
         task_name(&self.job, self.index)
--- a/crates/control/src/cluster/task_placement.rs
+++ b/crates/control/src/cluster/task_placement.rs
@@ -59,13 +59,10 @@
         job.record_start(self.now_ms);
         machine.machine_group = Some(group_number);
         log::debug!("place {job_id}/{index}#{attempt} on {machine_id}");
-        machine.placements.push(Placement {
-            cpus: job.spec.cpus,
-            gpus: job.spec.gpus,
-            memory_gb: job.spec.memory_gb,
-            team: job.spec.team.clone(),
-            ..Placement::new(job_id, index, attempt, Phase::Unstored)
-        });
+        let placement = Placement::new(job_id, index, attempt, Phase::Unstored);
+        machine
+            .placements
+            .push(placement.with_requirements(&job.spec));
         machine.idle_since = None;
         if let Some(group) = self.machine_groups.get_mut(&group_number) {
             group.add_task(self.now_ms, job_id);
--- a/crates/control/src/cluster/usage_totals.rs
+++ b/crates/control/src/cluster/usage_totals.rs
@@ -102,7 +102,9 @@
 /// What a team's tasks take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct TeamUsage {
+    /// Millionths of CPUs.
     pub(super) cpu_millionths: i64,
+    /// Millionths of accelerators.
     pub(super) gpu_millionths: i64,
 }
 
--- a/crates/control/src/leader/fixture_tests.rs
+++ b/crates/control/src/leader/fixture_tests.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use stonegw_constants::STORE_RETRY_BACKOFF_MS;
 use stonegw_wire::msg::{
-    decode, encode, json_size_bytes, Catalog, Entry, Heartbeat, JobKind, Priority, Txn,
+    decode, encode, json_size_bytes, Catalog, Condition, Entry, Heartbeat, JobKind, Priority, Txn,
     TxnResponse, Write,
 };
 
@@ -54,52 +54,52 @@
     }
 
     fn read(&self, key: &str) -> (u16, Vec<u8>) {
-        let Some((value, version)) = self.records.get(key) else {
+        let Some((value, revision)) = self.records.get(key) else {
             return (404, vec![]);
         };
         let entry = Entry {
             key: key.to_owned(),
             value: value.clone(),
-            revision: *version,
+            revision: *revision,
             lease_id: None,
         };
         (200, encode(&entry))
     }
 
     fn apply(&mut self, txn: Txn<StoredRecord>) -> (u16, Vec<u8>) {
-        let large = |w: &Write<StoredRecord>| match w {
+        let is_large = |write: &Write<StoredRecord>| match write {
             Write::Put { value, .. } => json_size_bytes(value) > self.max_value_bytes,
             Write::Delete { .. } => false,
         };
         let conditions = txn.conditions.len();
-        let most = self.max_transaction_writes.saturating_mul(4);
+        let max_conditions = self.max_transaction_writes.saturating_mul(4);
         if txn.writes.len() > self.max_transaction_writes
-            || conditions > most
-            || txn.writes.iter().any(large)
+            || conditions > max_conditions
+            || txn.writes.iter().any(is_large)
         {
             return (400, vec![]);
         }
         if txn.writes.len() > self.max_burst_writes {
             return (429, vec![]);
         }
-        for c in &txn.conditions {
-            let stamp = self.records.get(&c.key).map_or(0, |k| k.1);
-            assert!(c.key == LEADER_KEY || stamp == c.revision, "{}", c.key);
+        for Condition { key, revision } in &txn.conditions {
+            let present = self.records.get(key).map_or(0, |record| record.1);
+            assert!(key == LEADER_KEY || present == *revision, "{key}");
         }
         self.revision += 1;
-        for w in txn.writes {
-            match w {
+        for write in txn.writes {
+            match write {
                 Write::Put { key, value, .. } => {
                     self.records.insert(key, (value, self.revision));
                 }
                 Write::Delete { key } => drop(self.records.remove(&key)),
             }
         }
-        let answer = TxnResponse {
+        let response = TxnResponse {
             revision: self.revision,
             failed_keys: vec![],
         };
-        (200, encode(&answer))
+        (200, encode(&response))
     }
 }
 
@@ -132,8 +132,8 @@
     outbox: Outbox,
 }
 
-pub fn machine_id(n: usize) -> String {
-    format!("host-{n:06}")
+pub fn machine_id(number: usize) -> String {
+    format!("host-{number:06}")
 }
 
 pub fn job_spec(id: &str, tasks: u32) -> stonegw_wire::msg::JobSpec {
@@ -161,30 +161,34 @@
     }
 }
 
-/// What a leader may use at the world's present time. A macro, so that it borrows only the parts it names.
+/// What a leader may use at the fixture's present time. A macro, so that it borrows only the parts it names.
 macro_rules! context {
-    ($world:expr, $proven:expr, $calls:expr) => {
+    ($fixture:expr, $confirmed:expr, $calls:expr) => {
         LeaderContext {
-            leadership_confirmed: $proven,
+            leadership_confirmed: $confirmed,
             now: Now {
-                monotonic_ms: $world.now_ms,
-                wall_ms: $world.now_ms,
+                monotonic_ms: $fixture.now_ms,
+                wall_ms: $fixture.now_ms,
             },
-            settings: &$world.settings,
+            settings: &$fixture.settings,
             may_resign: false,
-            watermark_current: $proven,
-            replica: &mut $world.replica,
-            read_budget: &mut $world.read_budget,
-            write_budget: &mut $world.write_budget,
-            store_limits: &mut $world.store_limits,
-            outbox: &mut $world.outbox,
+            watermark_current: $confirmed,
+            replica: &mut $fixture.replica,
+            read_budget: &mut $fixture.read_budget,
+            write_budget: &mut $fixture.write_budget,
+            store_limits: &mut $fixture.store_limits,
+            outbox: &mut $fixture.outbox,
             calls: &mut $calls,
         }
     };
 }
 
 impl LeaderFixture {
-    pub fn new(store: FakeStore, value_bytes: usize, txn_ops: usize) -> LeaderFixture {
+    pub fn new(
+        store: FakeStore,
+        max_value_bytes: usize,
+        max_transaction_writes: usize,
+    ) -> LeaderFixture {
         let settings = Settings {
             node_name: "node-0".into(),
             zone: "a".into(),
@@ -199,8 +203,8 @@
             gang_loss_detection_s: 8.0,
             store_requests_per_s: 100.0,
             store_writes_per_s: 60.0,
-            max_value_bytes: value_bytes,
-            max_transaction_writes: txn_ops,
+            max_value_bytes,
+            max_transaction_writes,
             cloud_requests_per_s: 1.0,
             cloud_listing_lag_s: 1.0,
             max_sockets: 1_000,
@@ -236,12 +240,12 @@
         leader
             .cluster
             .lower_max_value_bytes(self.store_limits.max_value_bytes());
-        for (key, (value, version)) in &self.store.records {
+        for (key, (value, revision)) in &self.store.records {
             if let StoredRecord::MachineGroup(record) = value {
                 let entry = Entry {
                     key: key.clone(),
                     value: record.clone(),
-                    revision: *version,
+                    revision: *revision,
                     lease_id: None,
                 };
                 leader.load_machine_group(self.now_ms, entry);
@@ -252,15 +256,16 @@
     }
 
     pub fn submit(&mut self, leader: &mut Leader, id: &str, tasks: u32) {
-        let work = JobState::new(job_spec(id, tasks), 0);
-        leader.cluster.jobs.insert(id.into(), work);
+        let job = JobState::new(job_spec(id, tasks), 0);
+        leader.cluster.jobs.insert(id.into(), job);
     }
 
-    /// What a whole turn of the leader sends, by its paths. `proven`: see [`Ctx`].
-    pub fn paths_sent_in_turn(&mut self, leader: &mut Leader, proven: bool) -> Vec<String> {
+    /// What a whole turn of the leader sends, by its paths. `confirmed`: its leadership is, see
+    /// [`LeaderContext`].
+    pub fn paths_sent_in_turn(&mut self, leader: &mut Leader, confirmed: bool) -> Vec<String> {
         self.now_ms += 100;
         let mut calls = vec![];
-        let mut context = context!(self, proven, calls);
+        let mut context = context!(self, confirmed, calls);
         leader.advance(&mut context);
         let path = |action| match action {
             crate::api::Action::Call { path, .. } => Some(path),
@@ -272,11 +277,11 @@
             .collect()
     }
 
-    /// A machine reports.
-    pub fn deliver_heartbeat(&mut self, leader: &mut Leader, report: Heartbeat) {
+    /// A heartbeat arrives.
+    pub fn deliver_heartbeat(&mut self, leader: &mut Leader, heartbeat: Heartbeat) {
         let mut calls = vec![];
         let mut context = context!(self, true, calls);
-        leader.handle_heartbeat(&mut context, report);
+        leader.handle_heartbeat(&mut context, heartbeat);
     }
 
     /// A tenth of a second: what is due is written, and the answer comes.
@@ -306,12 +311,12 @@
                 continue;
             }
             let txn: Txn<StoredRecord> = decode(&body).expect("a transaction");
-            let pause = self
+            let since_refusal = self
                 .last_refused_at
                 .map_or(Millis::MAX, |at| self.now_ms - at);
             assert!(
-                pause >= STORE_RETRY_BACKOFF_MS,
-                "busy: again after {pause} ms"
+                since_refusal >= STORE_RETRY_BACKOFF_MS,
+                "busy: again after {since_refusal} ms"
             );
             self.transactions += 1;
             self.max_writes_seen = self.max_writes_seen.max(txn.writes.len());
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Adds the record of one group, or its removal if no machine of it has tasks.
     fn add_machine_group_write(
         &mut self,
         transaction: &mut TransactionBuilder,
@@ -116,6 +117,7 @@
         GroupWrite::Handled
     }
 
+    /// The machines are in no group any more.
     fn leave_group(&mut self, machine_ids: BTreeSet<String>) {
         for machine_id in machine_ids {
             if let Some(mut machine) = self.cluster.machines.edit(&machine_id) {
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -11,9 +11,9 @@
 const LARGE_VALUE_BYTES: usize = 8 * 1024;
 const SMALL_VALUE_BYTES: usize = 2 * 1024;
 
-/// One record as the last release wrote it, of machines with eight tasks of a job each.
+/// One record as the last version wrote it, of machines with eight tasks of a job each.
 fn store_with_large_group() -> FakeStore {
-    let mut state = FakeStore::default();
+    let mut store = FakeStore::default();
     let mut record = MachineGroupRecord {
         teams: vec!["red".into()],
         ..MachineGroupRecord::default()
@@ -22,8 +22,8 @@
         let job = format!("run-{n}");
         record.jobs.push(JobRow(job, 0, 1.0, 0.0, 2.0));
         let rows = (0..8).map(|i| TaskRow(n, i, 71_000_000 + (n * 10) as u64 + u64::from(i)));
-        let (id, kind, zone) = (machine_id(n), "small".to_owned(), "a".to_owned());
-        let row = MachineRow(id, kind, zone, false, rows.collect());
+        let (id, machine_type, zone) = (machine_id(n), "small".to_owned(), "a".to_owned());
+        let row = MachineRow(id, machine_type, zone, false, rows.collect());
         record.machines.push(row);
     }
     let size = json_size_bytes(&record);
@@ -31,54 +31,64 @@
         size > 2 * SMALL_VALUE_BYTES && size <= LARGE_VALUE_BYTES,
         "{size}"
     );
-    state.put(&machine_group_key(0), StoredRecord::MachineGroup(record));
-    state
+    store.put(&machine_group_key(0), StoredRecord::MachineGroup(record));
+    store
 }
 
-/// Every placement that the records tell of, and how many of them do.
-fn stored_placements(state: &FakeStore) -> BTreeMap<(String, u64), usize> {
-    let mut told = BTreeMap::new();
-    for (_, record) in state.machine_groups() {
+/// Every placement in the records, and how many of them hold it.
+fn stored_placements(store: &FakeStore) -> BTreeMap<(String, u64), usize> {
+    let mut stored = BTreeMap::new();
+    for (_, record) in store.machine_groups() {
         for MachineRow(id, _, _, _, tasks) in record.machines {
             for TaskRow(_, _, attempt) in tasks {
-                *told.entry((id.clone(), attempt)).or_default() += 1;
+                *stored.entry((id.clone(), attempt)).or_default() += 1;
             }
         }
     }
-    told
+    stored
 }
 
 fn assert_placed_once(leader: &Leader) {
     let mut seen = BTreeSet::new();
-    for m in leader.cluster.machines.values() {
-        for p in &m.placements {
-            let key = (m.id.clone(), p.job.clone(), p.index, p.attempt);
-            assert!(seen.insert(key), "{} twice on {}", p.task_name(), m.id);
+    for machine in leader.cluster.machines.values() {
+        for placement in &machine.placements {
+            let key = (
+                machine.id.clone(),
+                placement.job.clone(),
+                placement.index,
+                placement.attempt,
+            );
+            assert!(
+                seen.insert(key),
+                "{} twice on {}",
+                placement.task_name(),
+                machine.id
+            );
         }
         let records = leader.cluster.machine_groups.values();
-        let records = records.filter(|s| s.machines.contains(&m.id)).count();
-        assert_eq!(records, 1, "{}", m.id);
+        let records = records.filter(|s| s.machines.contains(&machine.id)).count();
+        assert_eq!(records, 1, "{}", machine.id);
     }
 }
 
 /// Writes until nothing is due, and looks after each transaction whether all that was stored still is.
 fn run_until_all_stored(
-    world: &mut LeaderFixture,
+    fixture: &mut LeaderFixture,
     leader: &mut Leader,
     all: &BTreeMap<(String, u64), usize>,
 ) {
     for _ in 0..60 {
-        world.run_turn(leader);
-        let now = stored_placements(&world.store);
+        fixture.run_turn(leader);
+        let now = stored_placements(&fixture.store);
         let lost: Vec<_> = all.keys().filter(|key| !now.contains_key(*key)).collect();
         assert!(lost.is_empty(), "in no record: {lost:?}");
     }
-    let over = world
+    let over = fixture
         .store
         .machine_groups()
         .filter(|(_, r)| json_size_bytes(r) > SMALL_VALUE_BYTES);
     assert_eq!(over.count(), 0);
-    assert!(stored_placements(&world.store).values().all(|n| *n == 1));
+    assert!(stored_placements(&fixture.store).values().all(|n| *n == 1));
     assert!(!leader
         .cluster
         .machine_groups
@@ -90,57 +100,64 @@
 /// on its machines never started.
 #[test]
 fn a_record_above_the_limit_is_divided_and_none_of_it_is_lost() {
-    let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 4);
-    let mut leader = world.start_leader(2);
-    let all = stored_placements(&world.store);
-    world.run_turn(&mut leader);
-    world.submit(&mut leader, "run-99", 1);
+    let mut fixture = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 4);
+    let mut leader = fixture.start_leader(2);
+    let all = stored_placements(&fixture.store);
+    fixture.run_turn(&mut leader);
+    fixture.submit(&mut leader, "run-99", 1);
     let placed = (0..120).any(|_| {
-        world.run_turn(&mut leader);
+        fixture.run_turn(&mut leader);
         leader.cluster.place_task(&machine_id(3), "run-99", 0)
     });
     assert!(placed);
-    run_until_all_stored(&mut world, &mut leader, &all);
-    assert!(world.max_writes_seen <= 4);
-    let m = leader.cluster.machines.get(&machine_id(3)).expect("there");
-    assert!(m.placements.iter().any(|p| p.phase == Phase::Startable));
+    run_until_all_stored(&mut fixture, &mut leader, &all);
+    assert!(fixture.max_writes_seen <= 4);
+    let machine = leader.cluster.machines.get(&machine_id(3)).expect("there");
+    assert!(machine
+        .placements
+        .iter()
+        .any(|p| p.phase == Phase::Startable));
     assert_placed_once(&leader);
 }
 
 /// The process ends after any of the transactions of a division: the next leader finds machines in two
-/// records and must neither count their tasks twice nor lose them when it tidies up.
+/// records and must neither count their tasks twice nor lose them when it collects garbage.
 #[test]
 fn a_division_cut_short_leaves_no_task_twice_and_none_lost() {
     let all = stored_placements(&store_with_large_group());
     for ends_after in 0..12 {
-        let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 4);
-        let mut first = world.start_leader(2);
-        while world.transactions < ends_after && world.now_ms < 120_000 {
-            world.run_turn(&mut first);
+        let mut fixture = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 4);
+        let mut first = fixture.start_leader(2);
+        while fixture.transactions < ends_after && fixture.now_ms < 120_000 {
+            fixture.run_turn(&mut first);
         }
         drop(first);
-        let mut second = world.start_leader(3);
+        let mut second = fixture.start_leader(3);
         assert_placed_once(&second);
-        let held = second.cluster.machines.values().map(|m| m.placements.len());
+        let held = second
+            .cluster
+            .machines
+            .values()
+            .map(|machine| machine.placements.len());
         assert_eq!(held.sum::<usize>(), all.len());
-        run_until_all_stored(&mut world, &mut second, &all);
+        run_until_all_stored(&mut fixture, &mut second, &all);
         assert_placed_once(&second);
     }
 }
 
-/// Tidying up does not wait for company as placements do: it must not take a machine out of its old
+/// Garbage collection does not wait for other writes as placements do: it must not take a machine out of its old
 /// record before the new one is stored.
 #[test]
 fn a_divided_record_stays_until_its_parts_are_stored() {
-    let mut world = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 32);
-    let mut leader = world.start_leader(2);
-    let all = stored_placements(&world.store);
-    leader.writer.next_batch_at = world.now_ms + 1_000;
-    run_until_all_stored(&mut world, &mut leader, &all);
+    let mut fixture = LeaderFixture::new(store_with_large_group(), SMALL_VALUE_BYTES, 32);
+    let mut leader = fixture.start_leader(2);
+    let all = stored_placements(&fixture.store);
+    leader.writer.next_batch_at = fixture.now_ms + 1_000;
+    run_until_all_stored(&mut fixture, &mut leader, &all);
 }
 
-/// The old record is within the limit again, and tells of a machine further on: what only the other
-/// one holds must be stored there before that one lets go of it.
+/// The old record is within the limit again and goes on holding a machine: what only the other one
+/// holds must be stored there before it is removed from that one.
 #[test]
 fn a_machine_leaves_a_record_only_for_one_that_tells_all_of_it() {
     let record = |attempts: &[u64]| {
@@ -152,49 +169,49 @@
             machines: vec![MachineRow(machine_id(1), kind, zone, false, rows.collect())],
         })
     };
-    let mut state = FakeStore::default();
-    state.put(&machine_group_key(0), record(&[1]));
-    state.put(&machine_group_key(7), record(&[1, 2]));
-    let all = stored_placements(&state);
-    let mut world = LeaderFixture::new(state, LARGE_VALUE_BYTES, 1);
-    let mut leader = world.start_leader(2);
+    let mut store = FakeStore::default();
+    store.put(&machine_group_key(0), record(&[1]));
+    store.put(&machine_group_key(7), record(&[1, 2]));
+    let all = stored_placements(&store);
+    let mut fixture = LeaderFixture::new(store, LARGE_VALUE_BYTES, 1);
+    let mut leader = fixture.start_leader(2);
     assert_placed_once(&leader);
-    leader.writer.next_batch_at = world.now_ms + 1_000;
-    run_until_all_stored(&mut world, &mut leader, &all);
+    leader.writer.next_batch_at = fixture.now_ms + 1_000;
+    run_until_all_stored(&mut fixture, &mut leader, &all);
     assert_placed_once(&leader);
 }
 
-/// A machine with more tasks than any record has room for keeps the record it has; a task that was to
+/// A machine with more tasks than any record has capacity for keeps the record it has; a task that was to
 /// go there and can't be stored goes elsewhere instead of waiting for ever.
 #[test]
 fn what_fits_no_record_stays_stored_and_blocks_nothing() {
-    let mut world = LeaderFixture::new(FakeStore::default(), LARGE_VALUE_BYTES, 8);
-    let mut leader = world.start_leader(2);
+    let mut fixture = LeaderFixture::new(FakeStore::default(), LARGE_VALUE_BYTES, 8);
+    let mut leader = fixture.start_leader(2);
     let id = machine_id(1);
     leader
         .cluster
         .machines
         .add(&id, || Machine::new(&id, "small", "a", false, 0));
     for n in 0..50 {
-        world.submit(&mut leader, &format!("run-{n}"), 2);
+        fixture.submit(&mut leader, &format!("run-{n}"), 2);
         assert!(leader.cluster.place_task(&id, &format!("run-{n}"), 0));
     }
-    world.run_turn(&mut leader);
-    let all = stored_placements(&world.store);
+    fixture.run_turn(&mut leader);
+    let all = stored_placements(&fixture.store);
     assert_eq!(all.len(), 50);
     assert!(leader.cluster.place_task(&id, "run-7", 1));
-    world.store_limits.set_max_value_bytes(SMALL_VALUE_BYTES);
+    fixture.store_limits.set_max_value_bytes(SMALL_VALUE_BYTES);
     for _ in 0..20 {
-        world.run_turn(&mut leader);
+        fixture.run_turn(&mut leader);
     }
-    assert_eq!(stored_placements(&world.store), all);
+    assert_eq!(stored_placements(&fixture.store), all);
     assert!(!leader.cluster.machines.is_present("run-7", 1));
     assert!(leader.cluster.jobs["run-7"].pending_tasks.contains(&1));
     assert!(!leader.cluster.place_task(&id, "run-7", 1));
 }
 
-/// The state service lowers both limits without a word: all that waits to be stored still is, and no
-/// transaction follows a refused one at once (the world looks after that).
+/// The store lowers both limits without announcement: all that waits to be stored still is, and no
+/// transaction follows a refused one at once (the fixture checks that).
 #[test]
 fn unannounced_lower_limits_block_nothing() {
     for (value, writes) in [
@@ -202,19 +219,19 @@
         (SMALL_VALUE_BYTES, 8),
         (SMALL_VALUE_BYTES, 1),
     ] {
-        let mut world = LeaderFixture::new(store_with_large_group(), LARGE_VALUE_BYTES, 8);
-        let mut leader = world.start_leader(2);
-        let all = stored_placements(&world.store);
+        let mut fixture = LeaderFixture::new(store_with_large_group(), LARGE_VALUE_BYTES, 8);
+        let mut leader = fixture.start_leader(2);
+        let all = stored_placements(&fixture.store);
         for n in 0..200 {
             let id = machine_id(n);
             leader
                 .cluster
                 .machines
                 .add(&id, || Machine::new(&id, "small", "a", false, 0));
-            world.submit(&mut leader, &format!("run-{}", 100 + n), 1);
+            fixture.submit(&mut leader, &format!("run-{}", 100 + n), 1);
         }
-        world.store.max_value_bytes = value;
-        world.store.max_transaction_writes = writes;
+        fixture.store.max_value_bytes = value;
+        fixture.store.max_transaction_writes = writes;
         let mut waiting: BTreeSet<usize> = (0..200).collect();
         for _ in 0..900 {
             waiting.retain(|n| {
@@ -222,19 +239,23 @@
                     .cluster
                     .place_task(&machine_id(*n), &format!("run-{}", 100 + n), 0)
             });
-            world.run_turn(&mut leader);
-            let now = stored_placements(&world.store);
+            fixture.run_turn(&mut leader);
+            let now = stored_placements(&fixture.store);
             assert!(all.keys().all(|key| now.contains_key(key)));
         }
         assert!(waiting.is_empty(), "{waiting:?}");
-        let placed = leader.cluster.machines.values().flat_map(|m| &m.placements);
+        let placed = leader
+            .cluster
+            .machines
+            .values()
+            .flat_map(|machine| &machine.placements);
         assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 200);
         assert!(
-            world.refused_transactions > 0 && world.refused_transactions < 30,
+            fixture.refused_transactions > 0 && fixture.refused_transactions < 30,
             "{}",
-            world.refused_transactions
+            fixture.refused_transactions
         );
-        assert!(world
+        assert!(fixture
             .store
             .machine_groups()
             .all(|(_, r)| json_size_bytes(&r) <= value));
@@ -244,29 +265,33 @@
 /// A transaction that meets a lowered rate is sent again later, and smaller after a while.
 #[test]
 fn a_lowered_rate_delays_and_loses_nothing() {
-    let mut world = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 32);
-    let mut leader = world.start_leader(2);
+    let mut fixture = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 32);
+    let mut leader = fixture.start_leader(2);
     for n in 0..60 {
         let id = machine_id(n);
         leader
             .cluster
             .machines
             .add(&id, || Machine::new(&id, "small", "a", false, 0));
-        world.submit(&mut leader, &format!("run-{n}"), 9);
+        fixture.submit(&mut leader, &format!("run-{n}"), 9);
         for index in 0..9 {
             assert!(leader.cluster.place_task(&id, &format!("run-{n}"), index));
         }
     }
     // More than so many writes at once are never taken.
-    world.store.max_burst_writes = 3;
+    fixture.store.max_burst_writes = 3;
     for _ in 0..400 {
-        world.run_turn(&mut leader);
+        fixture.run_turn(&mut leader);
     }
-    let placed = leader.cluster.machines.values().flat_map(|m| &m.placements);
+    let placed = leader
+        .cluster
+        .machines
+        .values()
+        .flat_map(|machine| &machine.placements);
     assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 540);
 }
 
-/// A cancellation of a job accepted under the larger limit could not be stored, nor told to its user.
+/// A cancellation of a job accepted under the larger limit could not be stored, nor confirmed to its user.
 #[test]
 fn a_cancelled_record_above_the_limit_is_stored_without_its_description() {
     let spec = job_spec("run-1", 3);
@@ -279,21 +304,21 @@
     assert_eq!(open.fit_within(10).spec, Some(spec));
 }
 
-/// Six machines with tasks share a record that has no room for one more task.
-fn leader_with_full_group_record(world: &mut LeaderFixture) -> Leader {
-    let mut leader = world.start_leader(2);
+/// Six machines with tasks share a record that has no capacity for one more task.
+fn leader_with_full_group_record(fixture: &mut LeaderFixture) -> Leader {
+    let mut leader = fixture.start_leader(2);
     add_machines(&mut leader, 1..7);
     for n in 0.. {
         let job = format!("run-{n}");
-        // Only what is stored was measured; before, it counts for more than it takes.
+        // Only what is stored was measured; before, the estimate is higher.
         for _ in 0..30 {
-            world.run_turn(&mut leader);
+            fixture.run_turn(&mut leader);
         }
         let record = leader.cluster.machine_groups.get(&0);
         if record.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(&job) > SMALL_VALUE_BYTES) {
             break;
         }
-        world.submit(&mut leader, &job, 1);
+        fixture.submit(&mut leader, &job, 1);
         assert!(leader.cluster.place_task(&machine_id(1 + n % 6), &job, 0));
     }
     assert_eq!(leader.cluster.machine_groups.len(), 1);
@@ -312,10 +337,10 @@
     }
 }
 
-/// The busy machine is placed on and moves from its full record to another, which waits for company
-/// before it is written; tidying up the full one does not.
-fn move_busy_machine(world: &mut LeaderFixture, leader: &mut Leader) {
-    world.submit(leader, "run-99", 1);
+/// A task is placed on the busy machine, which moves from its full record to another. That waits for
+/// other writes; the garbage collection of the full one does not.
+fn move_busy_machine(fixture: &mut LeaderFixture, leader: &mut Leader) {
+    fixture.submit(leader, "run-99", 1);
     assert!(leader.cluster.place_task(&machine_id(1), "run-99", 0));
     let record = leader
         .cluster
@@ -323,42 +348,45 @@
         .get(&machine_id(1))
         .and_then(|m| m.machine_group);
     assert!(record.is_some_and(|n| n != 0), "not moved");
-    leader.writer.next_batch_at = world.now_ms + 1_000;
-    leader.writer.collect_garbage_at = world.now_ms;
+    leader.writer.next_batch_at = fixture.now_ms + 1_000;
+    leader.writer.collect_garbage_at = fixture.now_ms;
 }
 
-fn run_until_next_transaction(world: &mut LeaderFixture, leader: &mut Leader) {
-    let before = world.transactions;
+fn run_until_next_transaction(fixture: &mut LeaderFixture, leader: &mut Leader) {
+    let before = fixture.transactions;
     for _ in 0..100 {
-        world.run_turn(leader);
-        assert_all_stored(world, leader);
-        if world.transactions > before {
+        fixture.run_turn(leader);
+        assert_all_stored(fixture, leader);
+        if fixture.transactions > before {
             return;
         }
     }
     panic!("nothing was written");
 }
 
-/// Whatever may be on a machine stands in a stored record.
-fn assert_all_stored(world: &LeaderFixture, leader: &Leader) {
-    let told = stored_placements(&world.store);
-    for m in leader.cluster.machines.values() {
+/// Whatever may be on a machine is in a stored record.
+fn assert_all_stored(fixture: &LeaderFixture, leader: &Leader) {
+    let stored = stored_placements(&fixture.store);
+    for machine in leader.cluster.machines.values() {
         let sendable = |p: &&Placement| p.is_present() && p.phase != Phase::Unstored;
-        for p in m.placements.iter().filter(sendable) {
-            let key = (m.id.clone(), p.attempt);
-            assert!(told.contains_key(&key), "in no record: {key:?}");
+        for placement in machine.placements.iter().filter(sendable) {
+            let key = (machine.id.clone(), placement.attempt);
+            assert!(stored.contains_key(&key), "in no record: {key:?}");
         }
     }
 }
 
-fn assert_moved(world: &mut LeaderFixture, leader: &mut Leader) {
+fn assert_moved(fixture: &mut LeaderFixture, leader: &mut Leader) {
     for _ in 0..60 {
-        world.run_turn(leader);
-        assert_all_stored(world, leader);
+        fixture.run_turn(leader);
+        assert_all_stored(fixture, leader);
     }
-    let m = leader.cluster.machines.get(&machine_id(1)).expect("there");
-    assert!(m.placements.iter().all(|p| p.phase == Phase::Startable));
-    assert!(stored_placements(&world.store).values().all(|n| *n == 1));
+    let machine = leader.cluster.machines.get(&machine_id(1)).expect("there");
+    assert!(machine
+        .placements
+        .iter()
+        .all(|p| p.phase == Phase::Startable));
+    assert!(stored_placements(&fixture.store).values().all(|n| *n == 1));
     assert!(!leader
         .cluster
         .machine_groups
@@ -368,7 +396,7 @@
 }
 
 /// A busy machine whose record is full moves to another. Until that one is surely stored the old one
-/// must go on telling of it, also when nobody knows whether the transaction was carried out: a new
+/// must go on holding it, also when nobody knows whether the transaction was carried out: a new
 /// leader would start its tasks a second time.
 #[test]
 fn a_busy_machine_stays_in_its_full_record_until_the_next_is_stored() {
@@ -377,33 +405,33 @@
         AnswerMode::AnswerLost,
         AnswerMode::RequestLost,
     ] {
-        let mut world = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 8);
-        let mut leader = leader_with_full_group_record(&mut world);
-        move_busy_machine(&mut world, &mut leader);
-        world.answer_mode = answers;
-        run_until_next_transaction(&mut world, &mut leader);
-        world.answer_mode = AnswerMode::Immediate;
-        assert_moved(&mut world, &mut leader);
+        let mut fixture = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 8);
+        let mut leader = leader_with_full_group_record(&mut fixture);
+        move_busy_machine(&mut fixture, &mut leader);
+        fixture.answer_mode = answers;
+        run_until_next_transaction(&mut fixture, &mut leader);
+        fixture.answer_mode = AnswerMode::Immediate;
+        assert_moved(&mut fixture, &mut leader);
     }
 }
 
-/// A record that is being written does not yet tell of a machine that moves into it. Were it chosen,
+/// A record that is being written does not yet hold a machine that moves into it. Were it chosen,
 /// the answer to that write would be taken for the proof that it does.
 #[test]
 fn a_busy_machine_moves_to_no_record_that_is_being_written() {
-    let mut world = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 8);
-    let mut leader = leader_with_full_group_record(&mut world);
+    let mut fixture = LeaderFixture::new(FakeStore::default(), SMALL_VALUE_BYTES, 8);
+    let mut leader = leader_with_full_group_record(&mut fixture);
     add_machines(&mut leader, 9..10);
-    world.submit(&mut leader, "run-98", 1);
+    fixture.submit(&mut leader, "run-98", 1);
     assert!(leader.cluster.place_task(&machine_id(9), "run-98", 0));
-    world.answer_mode = AnswerMode::Delayed;
-    run_until_next_transaction(&mut world, &mut leader);
+    fixture.answer_mode = AnswerMode::Delayed;
+    run_until_next_transaction(&mut fixture, &mut leader);
     assert!(leader
         .cluster
         .machine_groups
         .values()
         .any(|s| s.stored_state.write_in_flight));
-    move_busy_machine(&mut world, &mut leader);
-    world.answer_mode = AnswerMode::Immediate;
-    assert_moved(&mut world, &mut leader);
+    move_busy_machine(&mut fixture, &mut leader);
+    fixture.answer_mode = AnswerMode::Immediate;
+    assert_moved(&mut fixture, &mut leader);
 }
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -1,4 +1,4 @@
-//! Machines that are silent or unreachable, and machines that are gone.
+//! Declares machines lost that are silent or unreachable for too long.
 use super::outage_detector::{FleetCounts, OutageDetector};
 use super::{Leader, Stage};
 use crate::api::Millis;
@@ -14,9 +14,9 @@
 const OUTAGE_TIMEOUT_MULTIPLE: u64 = 3;
 /// A heartbeat is late after so many intervals.
 const LATE_HEARTBEAT_INTERVALS: f64 = 1.25;
-/// A machine that the cloud takes back is gone so long after the announced moment.
+/// The cloud has surely taken a machine back so long after the announced moment.
 const EVICTION_MARGIN_MS: Millis = 2_000;
-/// A silent machine that so many listings of the cloud lack is gone.
+/// A silent machine that so many listings of the cloud lack exists no more.
 const LOST_ABSENT_LISTINGS: u32 = 2;
 
 /// After how long a silent or unreachable machine is declared lost.
@@ -69,8 +69,14 @@
 struct CheckResult {
     /// Machines that are declared lost.
     lost: Vec<String>,
-    /// Machines with placements to be withdrawn.
-    withdrawals: Vec<(String, WithdrawScope)>,
+    /// Placements that are to be withdrawn.
+    withdrawals: Vec<Withdrawal>,
+}
+
+/// Placements of a machine that are to be withdrawn.
+struct Withdrawal {
+    machine_id: String,
+    scope: WithdrawScope,
 }
 
 impl Leader {
@@ -88,7 +94,7 @@
             + (interval_s * 1e3) as u64;
         if may_declare_lost {
             self.outages.record_fleet(&counts, outage_until);
-            if counts.all.total > 1 && context.may_resign && self.no_machine_is_heard(now) {
+            if counts.all.total > 1 && context.may_resign && self.all_machines_are_silent(now) {
                 return self.resign();
             }
         }
@@ -101,7 +107,8 @@
                 machine.set_lifecycle(Lifecycle::Terminating);
             }
         }
-        for (machine_id, scope) in result.withdrawals {
+        for withdrawal in result.withdrawals {
+            let Withdrawal { machine_id, scope } = withdrawal;
             self.cluster.withdraw_unsent(&machine_id, scope);
         }
         self.cluster
@@ -110,7 +117,7 @@
     }
 
     /// Whether all machines have been silent for so long that the fault must be ours.
-    fn no_machine_is_heard(&self, now: Millis) -> bool {
+    fn all_machines_are_silent(&self, now: Millis) -> bool {
         let machines = self.cluster.machines.values();
         let last_heartbeat_at = machines
             .filter_map(|machine| machine.last_heartbeat_at)
@@ -138,7 +145,8 @@
                 result.lost.push(machine.id.clone());
             }
             if let Some(scope) = self.withdraw_scope(machine, is_silent) {
-                result.withdrawals.push((machine.id.clone(), scope));
+                let machine_id = machine.id.clone();
+                result.withdrawals.push(Withdrawal { machine_id, scope });
             }
         }
         result
@@ -160,13 +168,13 @@
         let was_evicted = machine
             .eviction_at
             .is_some_and(|at| now > at + EVICTION_MARGIN_MS);
-        let is_gone = machine.absent_listings >= LOST_ABSENT_LISTINGS || was_evicted;
+        let is_deleted = machine.absent_listings >= LOST_ABSENT_LISTINGS || was_evicted;
         let silent_too_long = self.is_silent_too_long(machine, silence_ms, now, timeouts);
         let unreachable_too_long = match machine.commands.reachability {
             Reachability::Unreachable { since } => now > since + timeouts.unreachable_ms,
             Reachability::Reachable | Reachability::Suspected { .. } => false,
         };
-        let is_lost = silent_too_long || (is_gone && is_silent) || unreachable_too_long;
+        let is_lost = silent_too_long || (is_deleted && is_silent) || unreachable_too_long;
         if is_lost {
             log::warn!(
                 "machine {} is lost after {silence_ms} ms of silence, \
--- a/crates/control/src/leader/reconciliation.rs
+++ b/crates/control/src/leader/reconciliation.rs
@@ -41,7 +41,7 @@
         self.shown = vec![false; machine.placements.len()];
         for status in tasks {
             let Some((job_id, index)) = parse_task_name(&status.task_id) else {
-                log::warn!("{} reports a task named {:?}", machine.id, status.task_id);
+                log::warn!("{} runs a task named {:?}", machine.id, status.task_id);
                 continue;
             };
             let phase = reported_phase(status);
@@ -218,15 +218,15 @@
         let Some(mut machine) = self.cluster.machines.edit(machine_id) else {
             return;
         };
-        machine.placements.push(Placement {
-            cpus: spec.map_or(0.0, |spec| spec.cpus),
-            gpus: spec.map_or(0.0, |spec| spec.gpus),
-            memory_gb: spec.map_or(0.0, |spec| spec.memory_gb),
-            team: spec.map_or(String::new(), |spec| spec.team.clone()),
+        let placement = Placement {
             inherited: true,
             stop_grace_s: (!is_wanted).then_some(0.0),
             running_at: Some(now),
             ..Placement::new(job_id, index, *attempt, *phase)
+        };
+        machine.placements.push(match spec {
+            Some(spec) => placement.with_requirements(spec),
+            None => placement,
         });
         if !is_present {
             return;
--- a/crates/control/src/leader/task_failures_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -5,8 +5,8 @@
 
 /// A leader with some machines that are up and some jobs of four tasks.
 fn leader_with(machines: usize, jobs: &[&str]) -> Leader {
-    let mut world = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
-    let mut leader = world.start_leader(5);
+    let mut fixture = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
+    let mut leader = fixture.start_leader(5);
     for n in 0..machines {
         let id = machine_id(n);
         leader
@@ -18,7 +18,7 @@
         }
     }
     for job in jobs {
-        world.submit(&mut leader, job, 4);
+        fixture.submit(&mut leader, job, 4);
     }
     leader
 }
@@ -65,10 +65,10 @@
 fn a_faulty_machine_is_drained() {
     let mut leader = leader_with(2, &["run-1", "run-2"]);
     for job in ["run-1", "run-2"] {
-        let work = leader.cluster.jobs.get_mut(job).expect("submitted");
-        work.done_tasks.set(3);
-        work.done_count = 1;
-        work.failures.record_success();
+        let job = leader.cluster.jobs.get_mut(job).expect("submitted");
+        job.done_tasks.set(3);
+        job.done_count = 1;
+        job.failures.record_success();
     }
     fail_task(&mut leader, 1_000, 0, "run-1");
     assert_eq!(
@@ -108,12 +108,12 @@
     fail_task(&mut leader, 400_000, 3, "run-1");
     assert_eq!(leader.cluster.machines.queued_count("run-1"), 0);
     let retry_at = leader.cluster.jobs["run-1"].retry_at;
-    let work = leader.cluster.jobs.get_mut("run-1").expect("submitted");
-    assert_eq!(work.start_limit(retry_at - 1), 0);
-    assert_eq!(work.start_limit(retry_at), 1);
-    work.record_start(retry_at);
-    assert_eq!(work.start_limit(retry_at + 1), 0, "the outcome is awaited");
-    work.failures.record_success();
-    work.retry_at = retry_at;
-    assert!(work.start_limit(retry_at) > 1);
+    let job = leader.cluster.jobs.get_mut("run-1").expect("submitted");
+    assert_eq!(job.start_limit(retry_at - 1), 0);
+    assert_eq!(job.start_limit(retry_at), 1);
+    job.record_start(retry_at);
+    assert_eq!(job.start_limit(retry_at + 1), 0, "the outcome is awaited");
+    job.failures.record_success();
+    job.retry_at = retry_at;
+    assert!(job.start_limit(retry_at) > 1);
 }
