--- a/crates/control/src/cluster/mod.rs
+++ b/crates/control/src/cluster/mod.rs
@@ -1,4 +1,6 @@
-//! The state of the cluster: machines, the tasks that may be on them, jobs, and the records that hold them.
+//! The state of the cluster as the leader holds it: machines, the tasks that may be on them, jobs,
+//! and the records that store them.
+mod command_channel;
 mod eligibility;
 mod failures;
 mod gang;
@@ -6,6 +8,7 @@
 mod machine;
 mod machine_group_record;
 mod machine_group_split;
+mod machine_heartbeat;
 mod machine_removal;
 mod machines;
 mod pending_write;
@@ -15,21 +18,28 @@
 mod reported_phase;
 mod state;
 mod stored_state;
+mod task_key;
 mod task_placement;
+mod usage_account;
 mod usage_totals;
 
+pub use command_channel::{CommandChannel, Reachability};
 pub(crate) use eligibility::image_fetch_s_per_gb;
 pub use failures::Failures;
 pub use gang::{Gang, GangState};
 pub use job_state::JobState;
-pub use machine::{Lifecycle, Machine, Reachability};
-pub(crate) use machine_group_record::machine_group_record;
+pub use machine::{Lifecycle, Machine};
+pub(crate) use machine_group_record::{machine_group_snapshot, MachineGroupSnapshot};
+pub(crate) use machine_heartbeat::{HeartbeatKind, HeartbeatReceipt};
+pub(crate) use machine_removal::WithdrawScope;
 pub use machines::{MachineGuard, Machines};
-pub(crate) use pending_write::pending_write_key;
 pub use pending_write::{PendingWrite, PlacementRef};
 pub use placement::{Phase, Placement};
 pub use placement_rules::{is_immediate, zone_allows};
-pub(crate) use reported_phase::{is_present_phase, reported_phase};
+pub(crate) use reported_phase::reported_phase;
 pub use state::ClusterState;
 pub(crate) use state::TerminationEvidence;
 pub use stored_state::{MachineGroup, ResultChunk, StoredState};
+pub use task_key::TaskKey;
+pub(crate) use task_placement::GroupCapacity;
+pub use usage_account::UsageAccount;
--- a/crates/control/src/scheduling/gang_lifecycle.rs
+++ b/crates/control/src/scheduling/gang_lifecycle.rs
@@ -216,7 +216,7 @@
                 && !machine.via_store
                 && machine.under_current_term
                 && machine.is_trusted()
-                && machine.command_in_flight.is_none()
+                && machine.commands.call_in_flight.is_none()
                 && machine.addr.is_some()
         };
         members.iter().all(|member| {
