--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,70 +1,81 @@
-//! The leader's calls in flight, with what their responses are needed for.
+//! The calls of the leader that wait for an answer, each with what the answer is needed for.
 use crate::api::Millis;
 use crate::cluster::PendingWrite;
 use crate::store_limits::TransactionSize;
 
-/// A call of the leader that awaits its response.
+/// A call of the leader that waits for its answer.
 #[derive(Debug)]
 pub enum LeaderCall {
     /// Renews the lease of the leader key.
     RenewLease {
-        /// When the renewal was sent: the lease lasts at least its time to live from then on.
+        /// When it was sent: the lease lasts from then on at least.
         sent_at: Millis,
     },
-    /// Reads a page of the stored records when the leader takes over.
+    /// Reads a page of the records that earlier leaders stored.
     LoadRecords {
-        /// Prefix of the keys that are read.
+        /// The prefix of their keys.
         prefix: &'static str,
     },
-    /// Commits a transaction to the store.
+    /// A transaction.
     Commit {
-        /// What is written.
+        /// What it writes.
         writes: Vec<PendingWrite>,
-        /// The transaction's size, to lower the limits if the store rejects it.
+        /// How large it is, for the limits to be learnt from a refusal.
         size: TransactionSize,
     },
-    /// Reads a record's revision after a write with an unknown outcome.
+    /// Reads the revision of a key whose last write was not acknowledged.
     ReadRevision {
-        /// The write.
+        /// That write.
         write: PendingWrite,
     },
-    /// Sends commands to a worker, beside those in the replies to its heartbeats.
+    /// Commands sent to a worker directly, outside the reply to a heartbeat.
     DirectCommand {
-        /// The machine's id.
+        /// The id of the machine.
         machine: String,
         /// The worker's incarnation that the commands are for.
         incarnation: u64,
-        /// Attempts for which a start command is among them.
+        /// The attempts that the commands start.
         started_attempts: Vec<u64>,
     },
-    /// Checks whether commands reach a machine again that they did not reach.
+    /// Asks an unreachable machine whether commands reach it again.
     Probe {
-        /// The machine's id.
+        /// The id of the machine.
         machine: String,
     },
-    /// A call of the autoscaler to the cloud.
+    /// A call to the cloud.
     Autoscaler(AutoscalerCall),
 }
 
 impl LeaderCall {
-    /// Whether it goes to the key-value store.
+    /// Whether the call goes to the store.
     pub fn targets_store(&self) -> bool {
-        !matches!(
-            self,
-            LeaderCall::DirectCommand { .. } | LeaderCall::Probe { .. } | LeaderCall::Autoscaler(_)
-        )
+        match self {
+            LeaderCall::RenewLease { .. }
+            | LeaderCall::LoadRecords { .. }
+            | LeaderCall::Commit { .. }
+            | LeaderCall::ReadRevision { .. } => true,
+            LeaderCall::DirectCommand { .. }
+            | LeaderCall::Probe { .. }
+            | LeaderCall::Autoscaler(_) => false,
+        }
     }
 }
 
 /// A call of the autoscaler to the cloud.
 #[derive(Debug)]
 pub enum AutoscalerCall {
-    /// Reads the catalog of machine types.
+    /// Reads the catalogue of machine types.
     ReadCatalog,
-    /// Reads a page of the list of machines.
+    /// Reads a page of the machine list.
     ListMachines,
-    /// Provisions machines; the number of the request.
-    Provision(u64),
-    /// Terminates the machines with these ids.
-    Terminate(Vec<String>),
+    /// Asks for machines.
+    Provision {
+        /// The number of the request.
+        number: u64,
+    },
+    /// Deletes machines.
+    Terminate {
+        /// Their ids.
+        machine_ids: Vec<String>,
+    },
 }
--- a/crates/control/src/node/feasibility.rs
+++ b/crates/control/src/node/feasibility.rs
@@ -1,38 +1,78 @@
-//! Decides whether a job can ever run: its machine type and its team's limit.
+//! Decides whether a job can ever run: a machine type that fits its tasks, and its team's limit.
 use crate::settings::Settings;
+use std::fmt;
 use stonegw_constants::RESOURCE_EPSILON;
-use stonegw_wire::msg::{Catalog, JobKind, JobSpec};
+use stonegw_wire::msg::{Catalog, JobKind, JobSpec, MachineType};
 
-/// 422 exactly where the protocol has it.
+/// Why a job can never run; in words, as the body of a response with status 422 has it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum FeasibilityError {
+    /// The settings have no team of this name.
+    UnknownTeam(String),
+    /// No machine type that the job allows is large enough for one of its tasks.
+    FitsNoMachineType,
+    /// What has to run at the same time is above the team's limit.
+    AboveTeamLimit,
+}
+
+impl fmt::Display for FeasibilityError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            FeasibilityError::UnknownTeam(team) => write!(formatter, "unknown team {team}"),
+            FeasibilityError::FitsNoMachineType => {
+                formatter.write_str("a task fits no allowed machine type")
+            }
+            FeasibilityError::AboveTeamLimit => {
+                formatter.write_str("needs more than the team's limit")
+            }
+        }
+    }
+}
+
+impl std::error::Error for FeasibilityError {}
+
+/// Whether a job can ever run.
 pub fn check_feasibility(
     spec: &JobSpec,
     settings: &Settings,
     catalog: &Catalog,
-) -> Result<(), String> {
+) -> Result<(), FeasibilityError> {
     let Some(team) = settings.team(&spec.team) else {
-        return Err(format!("unknown team {}", spec.team));
+        return Err(FeasibilityError::UnknownTeam(spec.team.clone()));
     };
-    let fits = catalog.machine_types.iter().any(|t| {
-        spec.machine_types
-            .as_ref()
-            .is_none_or(|l| l.contains(&t.name))
-            && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && t.cpus + RESOURCE_EPSILON >= spec.cpus
-            && t.gpus + RESOURCE_EPSILON >= spec.gpus
-            && t.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
-    });
-    if !fits {
-        return Err("a task fits no allowed machine type".into());
+    let fits_a_type = catalog
+        .machine_types
+        .iter()
+        .any(|machine_type| can_run_task(machine_type, spec));
+    if !fits_a_type {
+        return Err(FeasibilityError::FitsNoMachineType);
     }
-    let n = match spec.kind {
+    let concurrent_tasks = match spec.kind {
         JobKind::Array => 1.0,
         // All its tasks run at the same time.
         JobKind::Service | JobKind::Gang => f64::from(spec.task_count),
     };
-    if spec.cpus * n > team.limit_cpus + RESOURCE_EPSILON
-        || spec.gpus * n > team.limit_gpus + RESOURCE_EPSILON
+    if spec.cpus * concurrent_tasks > team.limit_cpus + RESOURCE_EPSILON
+        || spec.gpus * concurrent_tasks > team.limit_gpus + RESOURCE_EPSILON
     {
-        return Err("needs more than the team's limit".into());
+        return Err(FeasibilityError::AboveTeamLimit);
     }
     Ok(())
 }
+
+/// Whether an empty machine of the type, in a zone that the job allows, can run one of its tasks.
+fn can_run_task(machine_type: &MachineType, spec: &JobSpec) -> bool {
+    let is_allowed = spec
+        .machine_types
+        .as_ref()
+        .is_none_or(|names| names.contains(&machine_type.name));
+    let is_in_zone = spec
+        .zone
+        .as_ref()
+        .is_none_or(|zone| machine_type.zones.contains(zone));
+    is_allowed
+        && is_in_zone
+        && machine_type.cpus + RESOURCE_EPSILON >= spec.cpus
+        && machine_type.gpus + RESOURCE_EPSILON >= spec.gpus
+        && machine_type.memory_gb + RESOURCE_EPSILON >= spec.memory_gb
+}
