--- a/crates/control/src/cluster/machine_group_record.rs
+++ b/crates/control/src/cluster/machine_group_record.rs
@@ -19,9 +19,10 @@
     let mut record = MachineGroupRecord::default();
     let mut new_placements = vec![];
     let mut job_rows = HashMap::new();
+    let is_present = |placement: &&Placement| placement.is_present();
     for machine in group.iter().filter_map(|id| machines.get(id)) {
         let mut task_rows = vec![];
-        for placement in machine.placements.iter().filter(|p| p.is_present()) {
+        for placement in machine.placements.iter().filter(is_present) {
             let job_row = *job_rows
                 .entry(placement.job.as_str())
                 .or_insert_with(|| add_job_row(&mut record, placement));
@@ -51,7 +52,7 @@
 
 /// Adds the row of the placement's job, and its team if need be. Returns the row's number.
 fn add_job_row(record: &mut MachineGroupRecord, placement: &Placement) -> usize {
-    let known = record.teams.iter().position(|t| *t == placement.team);
+    let known = record.teams.iter().position(|team| *team == placement.team);
     let team = known.unwrap_or_else(|| {
         record.teams.push(placement.team.clone());
         record.teams.len() - 1
--- a/crates/control/src/cluster/machines_tests.rs
+++ b/crates/control/src/cluster/machines_tests.rs
@@ -18,56 +18,73 @@
 #[test]
 fn usage_totals_follow_every_change() {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut all = Machines::default();
-    for n in 0..2_000u64 {
+    let mut machines = Machines::default();
+    for attempt in 0..2_000u64 {
         let id = format!("host-{}", rng.random_range(0..6));
-        all.add(&id, || Machine::new(&id, "small", "a", false, 0));
-        let (job, index) = (format!("run-{}", n % 5), rng.random_range(0..9));
+        machines.add(&id, || Machine::new(&id, "small", "a", false, 0));
+        let (job, index) = (format!("run-{}", attempt % 5), rng.random_range(0..9));
         match rng.random_range(0..8) {
-            0 => all.remove(&id),
-            1 => all.edit(&id).unwrap().queued = vec![(job, index), ("run-1".into(), 7)],
-            2 => all.edit(&id).unwrap().queued.clear(),
-            3 => all.edit(&id).unwrap().zone = "b".into(),
-            4 => all.edit(&id).unwrap().set_lifecycle(Lifecycle::Terminating),
-            5 => all.edit_all(|m| {
-                for p in m.placements.iter_mut().skip(2) {
-                    p.stop_grace_s = Some(0.0);
-                    p.set_phase(Phase::Running);
+            0 => machines.remove(&id),
+            1 => machines.edit(&id).unwrap().queued = vec![(job, index), ("run-1".into(), 7)],
+            2 => machines.edit(&id).unwrap().queued.clear(),
+            3 => machines.edit(&id).unwrap().zone = "b".into(),
+            4 => machines
+                .edit(&id)
+                .unwrap()
+                .set_lifecycle(Lifecycle::Terminating),
+            5 => machines.edit_all(|machine| {
+                for placement in machine.placements.iter_mut().skip(2) {
+                    placement.stop_grace_s = Some(0.0);
+                    placement.set_phase(Phase::Running);
                 }
             }),
-            6 => drop(all.edit(&id).map(|mut m| m.placements.pop())),
+            6 => drop(
+                machines
+                    .edit(&id)
+                    .map(|mut machine| machine.placements.pop()),
+            ),
             _ => {
-                let mut m = all.edit(&id).unwrap();
-                let mut p = Placement::new(&job, index, n, Phase::Startable);
-                (p.cpus, p.team) = (0.1 * index as f64, "red".into());
-                m.placements.push(p);
+                let mut machine = machines.edit(&id).unwrap();
+                let mut placement = Placement::new(&job, index, attempt, Phase::Startable);
+                (placement.cpus, placement.team) = (0.1 * index as f64, "red".into());
+                machine.placements.push(placement);
             }
         }
-        let right = all.recompute_usage_totals();
-        let team = |s: &UsageTotals| s.team_usage.get("red").copied().unwrap_or_default();
-        assert_eq!(team(&all.usage_totals), team(&right));
+        let expected = machines.recompute_usage_totals();
+        let team = |totals: &UsageTotals| totals.team_usage.get("red").copied().unwrap_or_default();
+        assert_eq!(team(&machines.usage_totals), team(&expected));
         assert_eq!(
-            all.usage_totals.machines_with_commands,
-            right.machines_with_commands
+            machines.usage_totals.machines_with_commands,
+            expected.machines_with_commands
         );
         assert_eq!(
-            all.usage_totals.terminating_machines,
-            right.terminating_machines
+            machines.usage_totals.terminating_machines,
+            expected.terminating_machines
         );
-        assert_eq!(all.usage_totals.job_usage.len(), right.job_usage.len());
-        for (job, j) in &all.usage_totals.job_usage {
-            let r = &right.job_usage[job];
+        assert_eq!(
+            machines.usage_totals.job_usage.len(),
+            expected.job_usage.len()
+        );
+        for (job, usage) in &machines.usage_totals.job_usage {
+            let expected = &expected.job_usage[job];
             assert_eq!(
-                (&j.present_machine_counts, &j.queued_machine_counts),
-                (&r.present_machine_counts, &r.queued_machine_counts)
+                (&usage.present_machine_counts, &usage.queued_machine_counts),
+                (
+                    &expected.present_machine_counts,
+                    &expected.queued_machine_counts
+                )
             );
             assert_eq!(
-                (j.running_tasks, &j.entries_by_machine),
-                (r.running_tasks, &r.entries_by_machine)
+                (usage.running_tasks, &usage.entries_by_machine),
+                (expected.running_tasks, &expected.entries_by_machine)
             );
             assert_eq!(
-                all.task_counts_by_zone(job, "b").0,
-                r.present_tasks_by_zone.get("b").copied().unwrap_or(0)
+                machines.task_counts_by_zone(job, "b").0,
+                expected
+                    .present_tasks_by_zone
+                    .get("b")
+                    .copied()
+                    .unwrap_or(0)
             );
         }
     }
--- a/crates/control/src/cluster/task_placement.rs
+++ b/crates/control/src/cluster/task_placement.rs
@@ -202,9 +202,11 @@
 fn bytes_to_move(machine: &Machine, job_id: &str) -> usize {
     let mut jobs: BTreeSet<&str> = BTreeSet::from([job_id]);
     let mut tasks = 1;
-    for placement in machine.placements.iter().filter(|p| p.is_present()) {
-        jobs.insert(&placement.job);
-        tasks += 1;
+    for placement in &machine.placements {
+        if placement.is_present() {
+            jobs.insert(&placement.job);
+            tasks += 1;
+        }
     }
     MACHINE_GROUP_BYTES_PER_MACHINE
         + tasks * MACHINE_GROUP_BYTES_PER_TASK
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of the workers, and the replies to them.
+use super::commands::CommandPath;
 use super::{Leader, Stage};
 use crate::cluster::{HeartbeatKind, HeartbeatReceipt, Machine, TerminationEvidence};
 use crate::context::LeaderContext;
-use crate::leader::commands::CommandPath;
 use stonegw_wire::msg::{decode, Command, CommandBatch, Heartbeat};
 
 impl Leader {
--- a/crates/control/src/leader/machine_group_records_tests.rs
+++ b/crates/control/src/leader/machine_group_records_tests.rs
@@ -3,21 +3,21 @@
 
 #[test]
 fn no_group_record_starves_behind_others() {
-    let mut shards = BTreeMap::new();
-    for n in 0..4 {
-        let mut s = MachineGroup::new(StoredState::absent());
-        s.add_task(10 - Millis::from(n), "run-1");
-        shards.insert(n, s);
+    let mut groups = BTreeMap::new();
+    for number in 0..4 {
+        let mut group = MachineGroup::new(StoredState::absent());
+        group.add_task(10 - Millis::from(number), "run-1");
+        groups.insert(number, group);
     }
     // It changed again after it was written: behind those that wait.
-    shards.get_mut(&3).expect("there").dirty_since = 20;
-    shards
+    groups.get_mut(&3).expect("there").dirty_since = 20;
+    groups
         .get_mut(&1)
         .expect("there")
         .stored_state
         .write_in_flight = true;
     assert_eq!(
-        groups_to_write(&shards, |s| s.stored_state.dirty),
+        groups_to_write(&groups, |group| group.stored_state.dirty),
         [2, 0, 3]
     );
 }
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -66,7 +66,9 @@
             );
         }
         let records = leader.cluster.machine_groups.values();
-        let records = records.filter(|s| s.machines.contains(&machine.id)).count();
+        let records = records
+            .filter(|group| group.machines.contains(&machine.id))
+            .count();
         assert_eq!(records, 1, "{}", machine.id);
     }
 }
@@ -116,7 +118,7 @@
     assert!(machine
         .placements
         .iter()
-        .any(|p| p.phase == Phase::Startable));
+        .any(|placement| placement.phase == Phase::Startable));
     assert_placed_once(&leader);
 }
 
@@ -249,7 +251,12 @@
             .machines
             .values()
             .flat_map(|machine| &machine.placements);
-        assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 200);
+        assert_eq!(
+            placed
+                .filter(|placement| placement.phase == Phase::Startable)
+                .count(),
+            200
+        );
         assert!(
             fixture.refused_transactions > 0 && fixture.refused_transactions < 30,
             "{}",
@@ -288,7 +295,12 @@
         .machines
         .values()
         .flat_map(|machine| &machine.placements);
-    assert_eq!(placed.filter(|p| p.phase == Phase::Startable).count(), 540);
+    assert_eq!(
+        placed
+            .filter(|placement| placement.phase == Phase::Startable)
+            .count(),
+        540
+    );
 }
 
 /// A cancellation of a job accepted under the larger limit could not be stored, nor confirmed to its user.
@@ -315,7 +327,9 @@
             fixture.run_turn(&mut leader);
         }
         let record = leader.cluster.machine_groups.get(&0);
-        if record.is_some_and(|s| s.estimated_bytes + s.bytes_for_task(&job) > SMALL_VALUE_BYTES) {
+        if record.is_some_and(|group| {
+            group.estimated_bytes + group.bytes_for_task(&job) > SMALL_VALUE_BYTES
+        }) {
             break;
         }
         fixture.submit(&mut leader, &job, 1);
@@ -346,7 +360,7 @@
         .cluster
         .machines
         .get(&machine_id(1))
-        .and_then(|m| m.machine_group);
+        .and_then(|machine| machine.machine_group);
     assert!(record.is_some_and(|n| n != 0), "not moved");
     leader.writer.next_batch_at = fixture.now_ms + 1_000;
     leader.writer.collect_garbage_at = fixture.now_ms;
@@ -368,7 +382,8 @@
 fn assert_all_stored(fixture: &LeaderFixture, leader: &Leader) {
     let stored = stored_placements(&fixture.store);
     for machine in leader.cluster.machines.values() {
-        let sendable = |p: &&Placement| p.is_present() && p.phase != Phase::Unstored;
+        let sendable =
+            |placement: &&Placement| placement.is_present() && placement.phase != Phase::Unstored;
         for placement in machine.placements.iter().filter(sendable) {
             let key = (machine.id.clone(), placement.attempt);
             assert!(stored.contains_key(&key), "in no record: {key:?}");
@@ -385,7 +400,7 @@
     assert!(machine
         .placements
         .iter()
-        .all(|p| p.phase == Phase::Startable));
+        .all(|placement| placement.phase == Phase::Startable));
     assert!(stored_placements(&fixture.store).values().all(|n| *n == 1));
     assert!(!leader
         .cluster
@@ -430,7 +445,7 @@
         .cluster
         .machine_groups
         .values()
-        .any(|s| s.stored_state.write_in_flight));
+        .any(|group| group.stored_state.write_in_flight));
     move_busy_machine(&mut fixture, &mut leader);
     fixture.answer_mode = AnswerMode::Immediate;
     assert_moved(&mut fixture, &mut leader);
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -1,5 +1,5 @@
 //! Declares machines lost that are silent or unreachable for too long.
-use super::outage_detector::{FleetCounts, OutageDetector};
+use super::outage_detector::{HealthCounts, OutageDetector};
 use super::{Leader, Stage};
 use crate::api::Millis;
 use crate::cluster::{Lifecycle, Machine, Placement, Reachability, WithdrawScope};
@@ -35,7 +35,7 @@
     fn new(
         settings: &Settings,
         outages: &OutageDetector,
-        counts: &FleetCounts,
+        counts: &HealthCounts,
         now: Millis,
     ) -> LossTimeouts {
         let lease_ms = (settings.worker_lease_s * 1e3) as u64;
@@ -81,19 +81,20 @@
 
 impl Leader {
     /// Declares machines lost that were silent or unreachable for too long, and withdraws
-    /// placements that are not to start any more. Resigns if no machine sends heartbeats.
+    /// placements that are not to start any more. Resigns if no machine
+    /// sends heartbeats.
     pub(super) fn check_machines(&mut self, context: &LeaderContext) {
         let now = context.now.monotonic_ms;
         let settings = context.settings;
         let may_declare_lost = self.stage == Stage::Active && self.lease_is_valid(context);
         let interval_s = settings.heartbeat_interval_s;
-        let counts = FleetCounts::of_machines(&self.cluster.machines, now, interval_s);
+        let counts = HealthCounts::of_machines(&self.cluster.machines, now, interval_s);
         // Workers try one node after the other: by then the last should be back.
         let outage_until = now
             + WORKER_ATTEMPT_TIMEOUT_MS * (settings.peers.len() as u64 + 1)
             + (interval_s * 1e3) as u64;
         if may_declare_lost {
-            self.outages.record_fleet(&counts, outage_until);
+            self.outages.record_outage(&counts, outage_until);
             if counts.all.total > 1 && context.may_resign && self.all_machines_are_silent(now) {
                 return self.resign();
             }
--- a/crates/control/src/leader/outage_detector.rs
+++ b/crates/control/src/leader/outage_detector.rs
@@ -37,20 +37,20 @@
 }
 
 /// The counts of all machines, and of those in each zone.
-pub(super) struct FleetCounts<'a> {
+pub(super) struct HealthCounts<'a> {
     /// Over all zones.
     pub(super) all: MachineCounts,
     by_zone: HashMap<&'a str, MachineCounts>,
 }
 
-impl FleetCounts<'_> {
+impl HealthCounts<'_> {
     /// Counts the machines that sent heartbeats in this term, and those that a predecessor left
     /// with tasks.
     pub(super) fn of_machines(
         machines: &Machines,
         now: Millis,
         heartbeat_interval_s: f64,
-    ) -> FleetCounts<'_> {
+    ) -> HealthCounts<'_> {
         let mut all = MachineCounts::default();
         let mut by_zone: HashMap<&str, MachineCounts> = HashMap::new();
         for machine in machines.values() {
@@ -66,7 +66,7 @@
                 counts.via_store += usize::from(machine.via_store && !is_silent);
             }
         }
-        FleetCounts { all, by_zone }
+        HealthCounts { all, by_zone }
     }
 
     /// Whether silent machines are so few that each may have failed by itself.
@@ -86,7 +86,7 @@
 impl OutageDetector {
     /// Notes an outage among all machines. Its end does not come for all at once: `until` is when
     /// the last should be back.
-    pub(super) fn record_fleet(&mut self, counts: &FleetCounts, until: Millis) {
+    pub(super) fn record_outage(&mut self, counts: &HealthCounts, until: Millis) {
         if counts.all.is_mass(counts.all.silent) {
             self.mass_silence_until = until;
         }
@@ -96,7 +96,7 @@
     }
 
     /// Notes the zones that are most likely partitioned.
-    pub(super) fn record_zones(&mut self, counts: &FleetCounts, until: Millis) {
+    pub(super) fn record_zones(&mut self, counts: &HealthCounts, until: Millis) {
         for (zone, counts) in &counts.by_zone {
             if counts.is_zone_partitioned() {
                 let zone = (*zone).to_owned();
--- a/crates/control/src/leader/resume_tests.rs
+++ b/crates/control/src/leader/resume_tests.rs
@@ -54,8 +54,8 @@
 fn until_leadership_is_confirmed_it_only_renews_its_lease() {
     let mut fixture = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
     let mut leader = busy_leader(&mut fixture);
-    if let Some(mut m) = leader.cluster.machines.edit(&machine_id(0)) {
-        m.placements[0].stop_grace_s = Some(0.0);
+    if let Some(mut machine) = leader.cluster.machines.edit(&machine_id(0)) {
+        machine.placements[0].stop_grace_s = Some(0.0);
     }
     pause(&mut fixture, &mut leader);
     let renewal = "/grants/1/touch";
@@ -72,8 +72,8 @@
     for (paused, runs) in [(false, 1), (true, 0)] {
         let mut fixture = LeaderFixture::new(FakeStore::default(), 8 * 1024, 8);
         let mut leader = busy_leader(&mut fixture);
-        if let Some(mut m) = leader.cluster.machines.edit(&machine_id(0)) {
-            m.placements[0].inherited = false;
+        if let Some(mut machine) = leader.cluster.machines.edit(&machine_id(0)) {
+            machine.placements[0].inherited = false;
         }
         if paused {
             pause(&mut fixture, &mut leader);
@@ -100,9 +100,9 @@
         job.last_placed_at = Some(heard_before);
     }
     pause(&mut fixture, &mut leader);
-    let m = leader.cluster.machines.get(&machine_id(0)).expect("heard");
-    assert_eq!(m.last_heartbeat_at, Some(fixture.now_ms));
-    assert_eq!(m.provisioned_at, heard_before + PAUSE_MS);
+    let machine = leader.cluster.machines.get(&machine_id(0)).expect("heard");
+    assert_eq!(machine.last_heartbeat_at, Some(fixture.now_ms));
+    assert_eq!(machine.provisioned_at, heard_before + PAUSE_MS);
     let job = &leader.cluster.jobs["run-1"];
     assert_eq!(job.last_placed_at, Some(heard_before + PAUSE_MS));
     assert!(job.deadline_missed);
--- a/crates/control/src/leader/task_failures_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -13,8 +13,8 @@
             .cluster
             .machines
             .add(&id, || Machine::new(&id, "small", "a", false, 1_000));
-        if let Some(mut m) = leader.cluster.machines.edit(&id) {
-            m.set_lifecycle(Lifecycle::Ready);
+        if let Some(mut machine) = leader.cluster.machines.edit(&id) {
+            machine.set_lifecycle(Lifecycle::Ready);
         }
     }
     for job in jobs {
@@ -60,7 +60,7 @@
     assert!(!leader.cluster.jobs["run-3"].failures.job_is_broken());
 }
 
-/// A faulty machine is told from broken jobs: jobs whose tasks are done elsewhere fail there.
+/// A faulty machine is distinguished from broken jobs: jobs whose tasks are done elsewhere fail there.
 #[test]
 fn a_faulty_machine_is_drained() {
     let mut leader = leader_with(2, &["run-1", "run-2"]);
@@ -102,8 +102,8 @@
     for n in 0..3 {
         fail_task(&mut leader, 100_000 * n as Millis, n, "run-1");
     }
-    if let Some(mut m) = leader.cluster.machines.edit(&machine_id(3)) {
-        m.queued.push(("run-1".into(), 2));
+    if let Some(mut machine) = leader.cluster.machines.edit(&machine_id(3)) {
+        machine.queued.push(("run-1".into(), 2));
     }
     fail_task(&mut leader, 400_000, 3, "run-1");
     assert_eq!(leader.cluster.machines.queued_count("run-1"), 0);
