--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -1,24 +1,38 @@
-//! Whether and how well a machine can run a task: state, constraints, capacity and team limits.
+//! Whether and how well a machine can run a task: its state, the job's constraints, free capacity and
+//! the team's quota and limit.
 use super::{zone_allows, ClusterState, JobState, Lifecycle, Machine, Phase};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::cmp::Reverse;
 use stonegw_constants::RESOURCE_EPSILON;
-use stonegw_wire::msg::{JobSpec, Priority};
+use stonegw_wire::msg::JobSpec;
 
-/// Seconds that one more image fetch takes per GB: fetches at the same time share the rate.
-pub(crate) fn image_fetch_s_per_gb(machine: &Machine, fetch_gb_per_s: f64) -> f64 {
+/// Seconds that a machine takes to fetch one GB of an image, at a rate in GB/s. Concurrent fetches share
+/// the rate.
+pub(crate) fn image_fetch_s_per_gb(machine: &Machine, rate: f64) -> f64 {
     let mut placements = machine.placements.iter();
     let is_fetching = placements.any(|placement| placement.phase == Phase::Fetching);
     let share = if is_fetching { 2.0 } else { 1.0 };
-    share / fetch_gb_per_s.max(0.01)
+    share / rate.max(0.01)
 }
 
-/// CPUs and accelerators that the other tasks of a gang take beside one of them.
-fn usage_of_other_members(gang_job: &JobState) -> (f64, f64) {
-    let spec = &gang_job.spec;
-    let others = f64::from(spec.task_count.saturating_sub(1));
-    (others * spec.cpus, others * spec.gpus)
+/// The order of machines in first fit; the least is used first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct FirstFitKey {
+    /// Seconds until the image is there.
+    image_fetch_s: i64,
+    /// Price of a CPU, scaled to a whole number.
+    price_per_cpu: i64,
+    /// Free CPUs, in hundredths: the tighter fit goes first.
+    free_cpus: i64,
+}
+
+impl JobState {
+    /// Whether the job's tasks may run on machines of this type.
+    pub(crate) fn allows_machine_type(&self, machine_type: &str) -> bool {
+        let allowed = self.spec.machine_types.as_ref();
+        allowed.is_none_or(|names| names.iter().any(|name| name == machine_type))
+    }
 }
 
 impl ClusterState {
@@ -33,143 +47,163 @@
             && now >= machine.full_until
     }
 
-    /// Whether the job's constraints allow the machine, whatever its state and free capacity.
+    /// Whether the job's constraints allow a task of it on the machine, capacity aside.
     pub(crate) fn meets_constraints(&self, machine: &Machine, job: &JobState) -> bool {
-        let spec = &job.spec;
-        (!machine.spot || spec.allows_spot)
-            && spec
-                .machine_types
-                .as_ref()
-                .is_none_or(|allowed| allowed.contains(&machine.machine_type))
+        (!machine.spot || job.spec.allows_spot)
+            && job.allows_machine_type(&machine.machine_type)
             && !job.failures.avoids(&machine.id)
             && zone_allows(&self.machines, job, &machine.zone)
-            && self.group_record_has_capacity(machine, &spec.id)
+            && self.group_record_has_capacity(machine, &job.spec.id)
     }
 
-    /// Whether a task of the job may go to the machine now, whatever its free capacity.
+    /// Whether a task of the job may be placed on the machine now, capacity aside.
     pub fn is_eligible(&self, context: &LeaderContext, machine: &Machine, job: &JobState) -> bool {
         self.accepts_tasks(context, machine) && self.meets_constraints(machine, job)
     }
 
-    /// Whether the machine has capacity for one more task.
+    /// Whether the machine has free capacity for one more task.
     pub fn has_capacity(&self, machine: &Machine, spec: &JobSpec) -> bool {
         let free = self.free_resources(machine);
         free.is_some_and(|free| free.has_capacity_for(&Resources::of_task(spec)))
     }
 
-    /// Whether one more task keeps its team within so many CPUs and accelerators, besides `extra`.
-    pub(crate) fn team_usage_within(
+    /// What is free on a machine. `None`: the catalogue does not have its type.
+    pub(crate) fn free_resources(&self, machine: &Machine) -> Option<Resources> {
+        let machine_type = self.machine_type(&machine.machine_type)?;
+        let (cpus, gpus, memory_gb) = machine.free_resources(machine_type);
+        Some(Resources {
+            cpus,
+            gpus,
+            memory_gb,
+        })
+    }
+
+    /// Whether one more task keeps its team's CPUs and GPUs within `bound`, with `extra` on top of what is
+    /// placed. Memory is not counted against teams.
+    fn is_team_usage_within(&self, spec: &JobSpec, bound: Resources, extra: Resources) -> bool {
+        let (cpus, gpus) = self.machines.team_usage(&spec.team);
+        cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
+            && gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
+    }
+
+    /// Whether one more task stays within the team's limit.
+    pub fn within_limit(&self, context: &LeaderContext, spec: &JobSpec) -> bool {
+        self.within_limit_with(context, spec, Resources::default())
+    }
+
+    /// Whether one more task stays within the team's limit, with `extra` on top of what is placed.
+    pub fn within_limit_with(
         &self,
+        context: &LeaderContext,
         spec: &JobSpec,
-        max: Option<(f64, f64)>,
-        extra: (f64, f64),
+        extra: Resources,
     ) -> bool {
-        let (used_cpus, used_gpus) = self.machines.team_usage(&spec.team);
-        let (extra_cpus, extra_gpus) = extra;
-        max.is_some_and(|(max_cpus, max_gpus)| {
-            used_cpus + extra_cpus + spec.cpus <= max_cpus + RESOURCE_EPSILON
-                && used_gpus + extra_gpus + spec.gpus <= max_gpus + RESOURCE_EPSILON
+        context.settings.team(&spec.team).is_some_and(|team| {
+            let limit = Resources {
+                cpus: team.limit_cpus,
+                gpus: team.limit_gpus,
+                memory_gb: f64::MAX,
+            };
+            self.is_team_usage_within(spec, limit, extra)
         })
     }
 
-    /// Whether one more task keeps its team within its limit, besides `extra` CPUs and
-    /// accelerators.
-    pub fn within_limit(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
-        let team = context.settings.team(&spec.team);
-        let limit = team.map(|team| (team.limit_cpus, team.limit_gpus));
-        self.team_usage_within(spec, limit, extra)
+    /// Whether one more task stays within the team's quota.
+    pub fn within_quota(&self, context: &LeaderContext, spec: &JobSpec) -> bool {
+        self.within_quota_with(context, spec, Resources::default())
     }
 
-    /// Whether one more task keeps its team within its quota, besides `extra` CPUs and
-    /// accelerators.
-    pub fn within_quota(&self, context: &LeaderContext, spec: &JobSpec, extra: (f64, f64)) -> bool {
-        let team = context.settings.team(&spec.team);
-        let quota = team.map(|team| (team.quota_cpus, team.quota_gpus));
-        self.team_usage_within(spec, quota, extra)
+    /// Whether one more task stays within the team's quota, with `extra` on top of what is placed.
+    pub fn within_quota_with(
+        &self,
+        context: &LeaderContext,
+        spec: &JobSpec,
+        extra: Resources,
+    ) -> bool {
+        context.settings.team(&spec.team).is_some_and(|team| {
+            let quota = Resources {
+                cpus: team.quota_cpus,
+                gpus: team.quota_gpus,
+                memory_gb: f64::MAX,
+            };
+            self.is_team_usage_within(spec, quota, extra)
+        })
     }
 
-    /// Machines that take new tasks and have any capacity: looked up once, not for each task.
+    /// Whether all tasks of the gang stay within their team's limit.
+    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, gang: &JobState) -> bool {
+        self.within_limit_with(context, &gang.spec, all_but_one_task(&gang.spec))
+    }
+
+    /// Whether all tasks of the gang stay within their team's quota.
+    pub(crate) fn gang_within_quota(&self, context: &LeaderContext, gang: &JobState) -> bool {
+        self.within_quota_with(context, &gang.spec, all_but_one_task(&gang.spec))
+    }
+
+    /// The machines with any free capacity. A pass collects them once, not for each task.
     pub fn machines_with_capacity(&self, context: &LeaderContext) -> Vec<String> {
         let has_free_cpus = |machine: &Machine| {
-            self.machine_type(&machine.machine_type)
-                .is_some_and(|t| machine.free_resources(t).0 > RESOURCE_EPSILON)
+            let free = self.free_resources(machine);
+            free.is_some_and(|free| free.cpus > RESOURCE_EPSILON)
         };
         self.machines
             .values()
-            .filter(|machine| self.accepts_tasks(context, machine))
-            .filter(|machine| has_free_cpus(machine))
+            .filter(|machine| self.accepts_tasks(context, machine) && has_free_cpus(machine))
             .map(|machine| machine.id.clone())
             .collect()
     }
 
-    /// Seconds that fetching the job's image takes there.
+    /// Seconds that fetching the job's image takes on the machine.
     pub fn image_fetch_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let fetch_gb_per_s = self
-            .machine_type(&machine.machine_type)
-            .map_or(1.0, |t| t.fetch_gb_per_s);
-        image_fetch_s_per_gb(machine, fetch_gb_per_s) * spec.image_size_gb
-    }
-
-    /// The order of first fit: the soonest start, then the cheaper machine, then the tighter fit.
-    pub fn first_fit_key(&self, machine: &Machine, spec: &JobSpec) -> (i64, i64, i64) {
         let machine_type = self.machine_type(&machine.machine_type);
-        let free_cpus = machine_type.map_or(0.0, |t| machine.free_resources(t).0);
-        let price = machine_type.map_or(0.0, |t| t.price_per_cpu(machine.spot));
-        let fetch_s = self.image_fetch_s(machine, spec).round() as i64;
-        (fetch_s, (price * 1e4) as i64, (free_cpus * 100.0) as i64)
+        let rate = machine_type.map_or(1.0, |machine_type| machine_type.fetch_gb_per_s);
+        image_fetch_s_per_gb(machine, rate) * spec.image_size_gb
     }
 
-    /// What is free on a machine; `None` if the catalogue lacks its type.
-    pub(crate) fn free_resources(&self, machine: &Machine) -> Option<Resources> {
-        let machine_type = self.machine_type(&machine.machine_type)?;
-        let (cpus, gpus, memory_gb) = machine.free_resources(machine_type);
-        Some(Resources {
-            cpus,
-            gpus,
-            memory_gb,
-        })
+    /// First fit: the soonest start, then the cheaper machine, then the tighter fit.
+    pub fn first_fit_key(&self, machine: &Machine, spec: &JobSpec) -> FirstFitKey {
+        let machine_type = self.machine_type(&machine.machine_type);
+        let price = machine_type.map_or(0.0, |found| found.price_per_cpu(machine.spot));
+        let free_cpus = self.free_resources(machine).map_or(0.0, |free| free.cpus);
+        FirstFitKey {
+            image_fetch_s: self.image_fetch_s(machine, spec).round() as i64,
+            price_per_cpu: (price * 1e4) as i64,
+            free_cpus: (free_cpus * 100.0) as i64,
+        }
     }
 
-    /// Whether all tasks of the gang keep their team within its limit.
-    pub(crate) fn gang_within_limit(&self, context: &LeaderContext, job: &JobState) -> bool {
-        self.within_limit(context, &job.spec, usage_of_other_members(job))
+    /// The gangs that wait for placement: by descending priority, then the longest accepted first.
+    pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
+        let now = context.now.monotonic_ms;
+        let waits = |job: &JobState| job.is_gang_waiting() && now >= job.retry_at;
+        let mut waiting: Vec<(&String, &JobState)> =
+            self.jobs.iter().filter(|(_, job)| waits(job)).collect();
+        waiting.sort_by_key(|(id, job)| (Reverse(job.spec.priority), job.submitted_at_ms, *id));
+        waiting.into_iter().map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether all tasks of the gang keep their team within its quota.
-    pub(crate) fn gang_within_quota(&self, context: &LeaderContext, job: &JobState) -> bool {
-        self.within_quota(context, &job.spec, usage_of_other_members(job))
+    /// What urgent tasks take of a machine. They are not preempted, and services do not end by themselves.
+    pub fn urgent_usage(&self, machine: &Machine) -> Resources {
+        let is_urgent = |job: &str| self.jobs.get(job).is_some_and(JobState::is_urgent);
+        let mut usage = Resources::default();
+        for placement in &machine.placements {
+            if placement.is_present() && is_urgent(&placement.job) {
+                usage += placement.resources();
+            }
+        }
+        usage
     }
+}
 
-    /// Gangs that wait, those of the highest priority first, then the longest accepted.
-    pub(crate) fn waiting_gangs(&self, context: &LeaderContext) -> Vec<String> {
-        let now = context.now.monotonic_ms;
-        let mut order: Vec<(Reverse<Priority>, u64, &String)> = self
-            .jobs
-            .iter()
-            .filter(|(_, job)| job.is_gang_waiting() && now >= job.retry_at)
-            .map(|(id, job)| (Reverse(job.spec.priority), job.submitted_at_ms, id))
-            .collect();
-        order.sort();
-        order.into_iter().map(|(_, _, id)| id.clone()).collect()
-    }
-
-    /// CPUs, accelerators and memory that urgent tasks take of a machine: they don't end by
-    /// themselves.
-    pub fn urgent_usage(&self, machine: &Machine) -> (f64, f64, f64) {
-        let is_urgent = |job_id: &str| self.jobs.get(job_id).is_some_and(JobState::is_urgent);
-        machine
-            .placements
-            .iter()
-            .filter(|placement| placement.is_present() && is_urgent(&placement.job))
-            .fold((0.0, 0.0, 0.0), |(cpus, gpus, memory_gb), placement| {
-                (
-                    cpus + placement.cpus,
-                    gpus + placement.gpus,
-                    memory_gb + placement.memory_gb,
-                )
-            })
+/// What all tasks of a gang but one take together: CPUs and GPUs, as teams are charged for them.
+fn all_but_one_task(spec: &JobSpec) -> Resources {
+    let others = f64::from(spec.task_count.saturating_sub(1));
+    Resources {
+        cpus: others * spec.cpus,
+        gpus: others * spec.gpus,
+        memory_gb: 0.0,
     }
 }
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -72,11 +72,11 @@
                 chunk: *number,
                 exited_placements: done_placements(self.machines, job_id, Some(*number)),
             };
-            let (observed_runs, mean_run_s) = self.estimates.observed_runs(job_id);
+            let observed = self.estimates.observed_runs(job_id);
             let record = StoredRecord::ResultChunk(ResultChunkRecord {
                 done_bitmap: job.done_tasks.encode(first_task, RESULT_CHUNK_TASKS),
-                observed_runs,
-                mean_run_s,
+                observed_runs: observed.count,
+                mean_run_s: observed.mean_s(),
             });
             let key = result_chunk_key(job_id, *number);
             if transaction.add_write(key, revision, Some(record), write) {
