--- a/crates/testkit/mixed/any_node.rs
+++ b/crates/testkit/mixed/any_node.rs
@@ -1,191 +1,227 @@
-//! A controller of either version, in the place of the stand-in's own. Events and actions pass
-//! through the form that they have on the wire.
-use crate::plan;
-use stonegw_control as new;
-use stonegw_control::api::{Action, Event, Now};
-use stonegw_control::settings::Settings;
+//! A controller node of either version, in place of the simulation's own. Events and actions pass
+//! through the form that they have on the wire, so a frame that one version writes is read by the
+//! other's parser.
+use crate::plan::{self, Version};
+use old_control::{api as old_api, settings as old_settings};
+use stonegw_control as new_control;
+use stonegw_control::api::{Action, CallError, Event, Link, Now, Target};
+use stonegw_control::settings::{Settings, Team, Tuning};
 use stonegw_wire::frame::Frame;
+use stonegw_wire::http::Request;
 
-pub use new::node::Role;
+pub use new_control::node::Role;
 
-enum Inner {
+enum VersionedNode {
     Old(Box<old_control::node::Node>),
-    New(Box<new::node::Node>),
+    New(Box<new_control::node::Node>),
 }
 
+/// A node that runs the version which the plan gives to this incarnation of it.
 pub struct Node {
     name: String,
+    /// The node's role; of an old node only whether it leads.
     pub role: Role,
-    inner: Inner,
-    /// Its gate was seen open.
-    opened: bool,
+    versioned_node: VersionedNode,
+    /// Whether its feature gate was open after the last events.
+    gate_was_open: bool,
 }
 
 impl Node {
+    /// Starts the version that is next for this node.
     pub fn new(settings: Settings, seed: u64) -> Node {
-        let name = settings.node.clone();
-        let inner = match plan::starts(&name) {
-            plan::Version::Old => {
-                let settings = old_settings(settings);
-                Inner::Old(Box::new(old_control::node::Node::new(settings, seed)))
+        let name = settings.node_name.clone();
+        let versioned_node = match plan::record_start(&name) {
+            Version::Old => {
+                let settings = to_old_settings(settings);
+                VersionedNode::Old(Box::new(old_control::node::Node::new(settings, seed)))
+            }
+            Version::New => {
+                VersionedNode::New(Box::new(new_control::node::Node::new(settings, seed)))
             }
-            plan::Version::New => Inner::New(Box::new(new::node::Node::new(settings, seed))),
         };
         Node {
             name,
             role: Role::Follower,
-            inner,
-            opened: false,
+            versioned_node,
+            gate_was_open: false,
         }
     }
 
+    /// Hands events to the node and returns its actions.
     pub fn handle(&mut self, now: Now, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
-        let led = self.role == Role::Leading;
-        let actions = match &mut self.inner {
-            Inner::Old(node) => {
-                let now = old_control::api::Now {
-                    ms: now.ms,
-                    wall_ms: now.wall_ms,
-                };
-                let events: Vec<_> = events.into_iter().map(old_event).collect();
-                let actions = node.handle(now, events);
+        let was_leader = self.role == Role::Leader;
+        let actions = match &mut self.versioned_node {
+            VersionedNode::Old(node) => {
+                let events: Vec<_> = events.into_iter().map(to_old_event).collect();
+                let actions = node.handle(to_old_time(now), events);
                 let leads = node.role == old_control::node::Role::Leading;
-                // The stand-in only asks who leads.
-                self.role = if leads { Role::Leading } else { Role::Follower };
-                actions.into_iter().map(new_action).collect()
+                // The simulation only asks who leads.
+                self.role = if leads { Role::Leader } else { Role::Follower };
+                actions.into_iter().map(to_new_action).collect()
             }
-            Inner::New(node) => {
+            VersionedNode::New(node) => {
                 let actions = node.handle(now, events);
                 self.role = node.role.clone();
-                let open = node.gangs_open();
-                if open && !self.opened {
-                    plan::gate_opened(&self.name);
+                let gate_is_open = node.gangs_enabled();
+                if gate_is_open && !self.gate_was_open {
+                    plan::record_gate_opened(&self.name);
                 }
-                self.opened = open;
+                self.gate_was_open = gate_is_open;
                 actions
             }
         };
-        if !led && self.role == Role::Leading {
-            plan::leads(&self.name);
+        if !was_leader && self.role == Role::Leader {
+            plan::record_leader(&self.name);
         }
         actions
     }
 }
 
-fn old_settings(s: Settings) -> old_control::settings::Settings {
-    use old_control::settings as old;
-    let team = |t: new::settings::Team| old::Team {
-        name: t.name,
-        cpus: t.cpus,
-        cpus_max: t.cpus_max,
-        gpus: t.gpus,
-        gpus_max: t.gpus_max,
-    };
-    assert!(s.promises.is_empty(), "the stand-in promises nothing");
-    old::Settings {
-        node: s.node,
-        zone: s.zone,
-        peers: s.peers,
-        zones: s.zones,
-        teams: s.teams.into_iter().map(team).collect(),
+fn to_old_time(now: Now) -> old_api::Now {
+    old_api::Now {
+        ms: now.monotonic_ms,
+        wall_ms: now.wall_ms,
+    }
+}
+
+fn to_old_settings(settings: Settings) -> old_settings::Settings {
+    assert!(
+        settings.class_slos.is_empty(),
+        "the simulation sets no objectives for classes"
+    );
+    old_settings::Settings {
+        node: settings.node_name,
+        zone: settings.zone,
+        peers: settings.peers,
+        zones: settings.zones,
+        teams: settings.teams.into_iter().map(to_old_team).collect(),
         promises: vec![],
-        report_s: s.report_s,
-        lease_s: s.lease_s,
-        cancel_s: s.cancel_s,
-        state_rps: s.state_rps,
-        state_write_rps: s.state_write_rps,
-        value_bytes: s.value_bytes,
-        txn_ops: s.txn_ops,
-        cloud_rps: s.cloud_rps,
-        list_lag_s: s.list_lag_s,
-        max_sockets: s.max_sockets,
-        tuning: old::Tuning {
-            spare_tasks: s.tuning.spare_tasks,
-            idle_boots: s.tuning.idle_boots,
-            slack_use: s.tuning.slack_use,
-            inflow_use: s.tuning.inflow_use,
-            leader_ttl_ms: s.tuning.leader_ttl_ms,
-            map_ms: s.tuning.map_ms,
-        },
+        report_s: settings.heartbeat_interval_s,
+        lease_s: settings.worker_lease_s,
+        cancel_s: settings.cancellation_deadline_s,
+        state_rps: settings.store_requests_per_s,
+        state_write_rps: settings.store_writes_per_s,
+        value_bytes: settings.max_value_bytes,
+        txn_ops: settings.max_transaction_writes,
+        cloud_rps: settings.cloud_requests_per_s,
+        list_lag_s: settings.cloud_listing_lag_s,
+        max_sockets: settings.max_sockets,
+        tuning: to_old_tuning(settings.tuning),
     }
 }
 
-fn old_frame(frame: &Frame) -> old_wire::frame::Frame {
+fn to_old_team(team: Team) -> old_settings::Team {
+    old_settings::Team {
+        name: team.name,
+        cpus: team.quota_cpus,
+        cpus_max: team.limit_cpus,
+        gpus: team.quota_gpus,
+        gpus_max: team.limit_gpus,
+    }
+}
+
+fn to_old_tuning(tuning: Tuning) -> old_settings::Tuning {
+    old_settings::Tuning {
+        spare_tasks: tuning.headroom_tasks,
+        idle_boots: tuning.idle_retention_boots,
+        slack_use: tuning.slack_fraction,
+        inflow_use: tuning.arrival_rate_fraction,
+        leader_ttl_ms: tuning.leader_lease_ttl_ms,
+        map_ms: tuning.scheduling_interval_ms,
+    }
+}
+
+fn to_old_frame(frame: &Frame) -> old_wire::frame::Frame {
     let mut bytes = vec![];
     frame.write(&mut bytes);
     let parsed = old_wire::frame::Frame::parse(&bytes);
     parsed.expect("the old version reads it").expect("whole").0
 }
 
-fn new_frame(frame: &old_wire::frame::Frame) -> Frame {
+fn to_new_frame(frame: &old_wire::frame::Frame) -> Frame {
     let mut bytes = vec![];
     frame.write(&mut bytes);
     let parsed = Frame::parse(&bytes);
     parsed.expect("the new version reads it").expect("whole").message
 }
 
-fn old_link(link: new::api::Link) -> old_control::api::Link {
+fn to_old_link(link: Link) -> old_api::Link {
     match link {
-        new::api::Link::Out(peer) => old_control::api::Link::Out(peer),
-        new::api::Link::In(number) => old_control::api::Link::In(number),
+        Link::Outbound(peer) => old_api::Link::Out(peer),
+        Link::Inbound(number) => old_api::Link::In(number),
     }
 }
 
-fn new_link(link: old_control::api::Link) -> new::api::Link {
+fn to_new_link(link: old_api::Link) -> Link {
     match link {
-        old_control::api::Link::Out(peer) => new::api::Link::Out(peer),
-        old_control::api::Link::In(number) => new::api::Link::In(number),
+        old_api::Link::Out(peer) => Link::Outbound(peer),
+        old_api::Link::In(number) => Link::Inbound(number),
+    }
+}
+
+fn to_old_request(request: Request) -> old_wire::http::Request {
+    old_wire::http::Request {
+        method: request.method,
+        path: request.path,
+        close: request.connection_close,
+        body: request.body,
     }
 }
 
-fn old_event(event: Event) -> old_control::api::Event {
-    use old_control::api as old;
+fn to_old_call_error(error: CallError) -> old_api::CallError {
+    match error {
+        CallError::NotSent => old_api::CallError::NotSent,
+        // The old version does not tell the two apart.
+        CallError::OutcomeUnknown | CallError::ResponseTooLarge => old_api::CallError::Unknown,
+    }
+}
+
+fn to_old_event(event: Event) -> old_api::Event {
     match event {
-        Event::Start => old::Event::Start,
-        Event::Tick => old::Event::Tick,
-        Event::Request { id, request } => old::Event::Request {
-            id,
-            request: old_wire::http::Request {
-                method: request.method,
-                path: request.path,
-                close: request.close,
-                body: request.body,
-            },
+        Event::Start => old_api::Event::Start,
+        Event::Tick => old_api::Event::Tick,
+        Event::Request {
+            request_id,
+            request,
+        } => old_api::Event::Request {
+            id: request_id,
+            request: to_old_request(request),
         },
-        Event::CallDone { call, result } => old::Event::CallDone {
-            call,
-            result: result.map_err(|error| match error {
-                new::api::CallError::NotSent => old::CallError::NotSent,
-                // The earlier release was told no more than that it is unknown.
-                new::api::CallError::Unknown | new::api::CallError::TooLarge => {
-                    old::CallError::Unknown
-                }
-            }),
+        Event::CallDone { call_id, result } => old_api::Event::CallDone {
+            call: call_id,
+            result: result.map_err(to_old_call_error),
         },
-        Event::Frame { from, frame } => old::Event::Frame {
-            from: old_link(from),
-            frame: old_frame(&frame),
+        Event::Frame { from, frame } => old_api::Event::Frame {
+            from: to_old_link(from),
+            frame: to_old_frame(&frame),
         },
-        Event::LinkUp(link) => old::Event::LinkUp(old_link(link)),
-        Event::LinkDown(link) => old::Event::LinkDown(old_link(link)),
+        Event::LinkUp(link) => old_api::Event::LinkUp(to_old_link(link)),
+        Event::LinkDown(link) => old_api::Event::LinkDown(to_old_link(link)),
+    }
+}
+
+fn to_new_target(target: old_api::Target) -> Target {
+    match target {
+        old_api::Target::State => Target::Store,
+        old_api::Target::Cloud => Target::Cloud,
+        old_api::Target::Worker(address) => Target::Worker(address),
     }
 }
 
-fn new_action(action: old_control::api::Action) -> Action {
-    use old_control::api as old;
+fn to_new_action(action: old_api::Action) -> Action {
     match action {
-        old::Action::Reply {
+        old_api::Action::Reply {
             id,
             status,
             retry_after_s,
             body,
         } => Action::Reply {
-            id,
+            request_id: id,
             status,
             retry_after_s,
             body,
         },
-        old::Action::Call {
+        old_api::Action::Call {
             call,
             target,
             method,
@@ -193,20 +229,16 @@
             body,
             timeout_ms,
         } => Action::Call {
-            call,
-            target: match target {
-                old::Target::State => new::api::Target::State,
-                old::Target::Cloud => new::api::Target::Cloud,
-                old::Target::Worker(addr) => new::api::Target::Worker(addr),
-            },
+            call_id: call,
+            target: to_new_target(target),
             method,
             path,
             body,
             timeout_ms,
         },
-        old::Action::Send { to, frame } => Action::Send {
-            to: new_link(to),
-            frame: new_frame(&frame),
+        old_api::Action::Send { to, frame } => Action::SendFrame {
+            to: to_new_link(to),
+            frame: to_new_frame(&frame),
         },
     }
 }
--- a/crates/testkit/mixed/plan.rs
+++ b/crates/testkit/mixed/plan.rs
@@ -1,99 +1,103 @@
-//! Which version each node starts with, life after life, and what is seen of it.
+//! Which version each incarnation of a node runs, and what is observed of the nodes.
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A version of the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
+    /// The version in production.
     Old,
+    /// The version of this tree.
     New,
 }
 
 #[derive(Default)]
-struct Plan {
-    /// How many lives each node begins with the old version; all later ones are new.
-    old_lives: BTreeMap<String, usize>,
-    lives: BTreeMap<String, usize>,
-    runs: BTreeMap<String, Version>,
-    leaders: Vec<Version>,
-    opened: BTreeSet<String>,
-    broken: Vec<String>,
+struct VersionPlan {
+    /// How many incarnations of each node run the old version; all later ones run the new one.
+    old_incarnations: BTreeMap<String, usize>,
+    incarnations: BTreeMap<String, usize>,
+    running_versions: BTreeMap<String, Version>,
+    leader_versions: Vec<Version>,
+    nodes_with_open_gate: BTreeSet<String>,
+    violations: Vec<String>,
 }
 
 thread_local! {
-    static PLAN: RefCell<Plan> = RefCell::default();
+    static PLAN: RefCell<VersionPlan> = RefCell::default();
 }
 
-/// Begins a play: nodes that are not named are old in their first life.
-pub fn begin(old_lives: BTreeMap<String, usize>) {
+/// Begins a play: nodes that are not named run the old version in their first incarnation.
+pub fn begin_play(old_incarnations: BTreeMap<String, usize>) {
     PLAN.with_borrow_mut(|plan| {
-        *plan = Plan {
-            old_lives,
-            ..Plan::default()
+        *plan = VersionPlan {
+            old_incarnations,
+            ..VersionPlan::default()
         }
     });
 }
 
-/// A process begins.
-pub fn starts(node: &str) -> Version {
+/// A process of the node starts: returns the version that it runs.
+pub fn record_start(node: &str) -> Version {
     PLAN.with_borrow_mut(|plan| {
-        let old_lives = plan.old_lives.get(node).copied().unwrap_or(1);
-        let life = plan.lives.entry(node.to_owned()).or_insert(0);
-        let version = if *life < old_lives {
+        let old_incarnations = plan.old_incarnations.get(node).copied().unwrap_or(1);
+        let incarnation = plan.incarnations.entry(node.to_owned()).or_insert(0);
+        let version = if *incarnation < old_incarnations {
             Version::Old
         } else {
             Version::New
         };
-        *life += 1;
-        plan.runs.insert(node.to_owned(), version);
+        *incarnation += 1;
+        plan.running_versions.insert(node.to_owned(), version);
         version
     })
 }
 
-/// A node leads: the versions of the leaders, one after another.
-pub fn leads(node: &str) {
+/// The node has become the leader.
+pub fn record_leader(node: &str) {
     PLAN.with_borrow_mut(|plan| {
-        let version = plan.runs[node];
-        plan.leaders.push(version);
+        let version = plan.running_versions[node];
+        plan.leader_versions.push(version);
     });
 }
 
-/// A node takes gangs: no node may run the old version, nor ever again.
-pub fn gate_opened(node: &str) {
+/// The node's feature gate has opened (it accepts gangs): from now on no node may run the old
+/// version.
+pub fn record_gate_opened(node: &str) {
     PLAN.with_borrow_mut(|plan| {
-        plan.opened.insert(node.to_owned());
-        let old: Vec<&String> = plan
-            .runs
+        plan.nodes_with_open_gate.insert(node.to_owned());
+        let old_nodes: Vec<&String> = plan
+            .running_versions
             .iter()
             .filter(|(_, version)| **version == Version::Old)
             .map(|(node, _)| node)
             .collect();
-        if !old.is_empty() {
-            let text = format!("gate of {node} opened beside the old {old:?}");
-            plan.broken.push(text);
+        if !old_nodes.is_empty() {
+            let text = format!("gate of {node} opened beside the old {old_nodes:?}");
+            plan.violations.push(text);
         }
     });
 }
 
 /// The versions of the leaders in turn, without repeats.
-pub fn leaders() -> Vec<Version> {
+pub fn leader_versions() -> Vec<Version> {
     PLAN.with_borrow(|plan| {
-        let mut leaders = plan.leaders.clone();
-        leaders.dedup();
-        leaders
+        let mut versions = plan.leader_versions.clone();
+        versions.dedup();
+        versions
     })
 }
 
-/// The nodes whose gate opened, in whichever life.
-pub fn opened() -> BTreeSet<String> {
-    PLAN.with_borrow(|plan| plan.opened.clone())
+/// The nodes whose feature gate opened, in whichever incarnation.
+pub fn nodes_with_open_gate() -> BTreeSet<String> {
+    PLAN.with_borrow(|plan| plan.nodes_with_open_gate.clone())
 }
 
-/// What went wrong.
-pub fn broken() -> Vec<String> {
-    PLAN.with_borrow(|plan| plan.broken.clone())
+/// Rules that were broken.
+pub fn violations() -> Vec<String> {
+    PLAN.with_borrow(|plan| plan.violations.clone())
 }
 
-/// What each node runs now.
-pub fn runs() -> BTreeMap<String, Version> {
-    PLAN.with_borrow(|plan| plan.runs.clone())
+/// The version that each node runs now.
+pub fn running_versions() -> BTreeMap<String, Version> {
+    PLAN.with_borrow(|plan| plan.running_versions.clone())
 }
--- a/crates/testkit/mixed/upgrades.rs
+++ b/crates/testkit/mixed/upgrades.rs
@@ -1,26 +1,26 @@
 //! Plays the upgrades in `traces/`: no rule may break, and what each expects must hold. A comment
-//! `# old-lives NODE N` says how many lives a node begins with the old version (1 if not said),
+//! `# old-lives NODE N` says how many incarnations of a node run the old version (1 if not said),
 //! `# leaders old new ...` the versions of the leaders in turn, `# gates N` on how many
-//! nodes the gate opens.
+//! nodes the feature gate opens.
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Mutex;
 use stonegw_testkit::plan::{self, Version};
 
-/// What a node says that can't read a record or an answer.
-const UNREAD: [&str; 2] = ["not understood", "unexpected record"];
+/// What a node logs that can't read a record or a response. Either version's words belong here.
+const UNREADABLE_MESSAGES: [&str; 2] = ["not understood", "unexpected record"];
 
-/// Keeps what either version says of what it can't read.
-struct Unread(Mutex<Vec<String>>);
+/// Records what either version logs of records and responses that it can't read.
+struct UnreadableRecorder(Mutex<Vec<String>>);
 
-impl log::Log for Unread {
+impl log::Log for UnreadableRecorder {
     fn enabled(&self, metadata: &log::Metadata) -> bool {
         metadata.level() <= log::Level::Warn
     }
 
     fn log(&self, record: &log::Record) {
         let text = record.args().to_string();
-        if UNREAD.iter().any(|part| text.contains(part)) {
+        if UNREADABLE_MESSAGES.iter().any(|part| text.contains(part)) {
             self.0.lock().expect("lock").push(text);
         }
     }
@@ -28,64 +28,76 @@
     fn flush(&self) {}
 }
 
-static UNREAD_SEEN: Unread = Unread(Mutex::new(vec![]));
+static UNREADABLE_RECORDER: UnreadableRecorder = UnreadableRecorder(Mutex::new(vec![]));
 
-fn directive<'a>(text: &'a str, name: &str) -> Vec<Vec<&'a str>> {
+/// The words of each comment `# NAME WORD...` of a trace.
+fn parse_directive<'a>(trace: &'a str, name: &str) -> Vec<Vec<&'a str>> {
     let prefix = format!("# {name} ");
-    let lines = text.lines().filter_map(|l| l.strip_prefix(&prefix));
-    lines.map(|l| l.split_whitespace().collect()).collect()
+    let lines = trace.lines().filter_map(|line| line.strip_prefix(&prefix));
+    lines
+        .map(|line| line.split_whitespace().collect())
+        .collect()
 }
 
-fn play(path: &Path) {
-    let text = std::fs::read_to_string(path).expect("trace");
-    let old_lives: BTreeMap<String, usize> = directive(&text, "old-lives")
+fn parse_version(word: &str) -> Version {
+    match word {
+        "old" => Version::Old,
+        "new" => Version::New,
+        other => panic!("unknown version {other}"),
+    }
+}
+
+fn play_upgrade(path: &Path) {
+    let trace = std::fs::read_to_string(path).expect("trace");
+    let old_incarnations: BTreeMap<String, usize> = parse_directive(&trace, "old-lives")
         .into_iter()
-        .map(|words| (words[0].to_owned(), words[1].parse().expect("lives")))
+        .map(|words| (words[0].to_owned(), words[1].parse().expect("incarnations")))
         .collect();
-    plan::begin(old_lives);
-    let sim = stonegw_testkit::trace::play(&text);
+    plan::begin_play(old_incarnations);
+    let sim = stonegw_testkit::trace::play(&trace);
     let name = path.file_stem().expect("name").to_string_lossy();
-    let broken = [sim.broken.clone(), sim.failures.clone(), plan::broken()].concat();
-    if !broken.is_empty() || std::env::var_os("SHOW_TRACE").is_some() {
+    let failures = [
+        sim.violations.clone(),
+        sim.expectation_failures.clone(),
+        plan::violations(),
+    ]
+    .concat();
+    if !failures.is_empty() || std::env::var_os("SHOW_TRACE").is_some() {
         println!("{}", sim.log.join("\n"));
     }
-    assert!(broken.is_empty(), "{name}: {broken:#?}");
+    assert!(failures.is_empty(), "{name}: {failures:#?}");
     for (id, job) in &sim.jobs {
-        assert!(job.ended.is_some(), "{name}: {id} has not ended");
+        assert!(job.reported_end.is_some(), "{name}: {id} has not ended");
     }
-    let version = |word: &&str| match *word {
-        "old" => Version::Old,
-        "new" => Version::New,
-        other => panic!("unknown version {other}"),
-    };
-    let leaders: Vec<Version> = directive(&text, "leaders")
-        .concat()
-        .iter()
-        .map(version)
-        .collect();
-    assert_eq!(plan::leaders(), leaders, "{name}");
-    let gates: usize = directive(&text, "gates")[0][0].parse().expect("gates");
-    assert_eq!(plan::opened().len(), gates, "{name}: {:?}", plan::opened());
-    if gates > 0 {
-        let old = plan::runs().values().any(|v| *v == Version::Old);
-        assert!(!old, "{name}: an old node is left");
+    let leader_words = parse_directive(&trace, "leaders").concat();
+    let expected_leaders: Vec<Version> = leader_words.into_iter().map(parse_version).collect();
+    assert_eq!(plan::leader_versions(), expected_leaders, "{name}");
+    let expected_gates: usize = parse_directive(&trace, "gates")[0][0]
+        .parse()
+        .expect("gates");
+    let open_gates = plan::nodes_with_open_gate();
+    assert_eq!(open_gates.len(), expected_gates, "{name}: {open_gates:?}");
+    if expected_gates > 0 {
+        let versions = plan::running_versions();
+        let old_left = versions.values().any(|version| *version == Version::Old);
+        assert!(!old_left, "{name}: an old node is left");
     }
     println!(
-        "ok     {name}: {} jobs, leaders {leaders:?}, {gates} gates",
+        "ok     {name}: {} jobs, leaders {expected_leaders:?}, {expected_gates} gates",
         sim.jobs.len()
     );
 }
 
 #[test]
 fn upgrades() {
-    log::set_logger(&UNREAD_SEEN).expect("the only logger");
+    log::set_logger(&UNREADABLE_RECORDER).expect("the only logger");
     log::set_max_level(log::LevelFilter::Warn);
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     let entries = std::fs::read_dir(dir).expect("traces");
-    let mut traces: Vec<_> = entries.map(|e| e.expect("entry").path()).collect();
+    let mut traces: Vec<_> = entries.map(|entry| entry.expect("entry").path()).collect();
     traces.sort();
     assert!(!traces.is_empty());
-    traces.iter().for_each(|path| play(path));
-    let unread = UNREAD_SEEN.0.lock().expect("lock");
-    assert!(unread.is_empty(), "not read: {unread:#?}");
+    traces.iter().for_each(|path| play_upgrade(path));
+    let unreadable = UNREADABLE_RECORDER.0.lock().expect("lock");
+    assert!(unreadable.is_empty(), "not read: {unreadable:#?}");
 }
