--- a/crates/testkit/src/sim/engine.rs
+++ b/crates/testkit/src/sim/engine.rs
@@ -17,9 +17,9 @@
 
     /// Runs up to the next script line that is due until then, which is returned, or to that time.
     pub fn run_until_script_line(&mut self, until: Ms) -> Option<Vec<String>> {
-        while let Some((due_at, event)) = self.queue.pop_due(until) {
-            self.now = due_at;
-            match event {
+        while let Some(next) = self.queue.pop_due(until) {
+            self.now = next.due_at;
+            match next.event {
                 SimulationEvent::ScriptLine(line) => return Some(line),
                 event => self.dispatch_event(event),
             }
--- a/crates/testkit/src/sim/event.rs
+++ b/crates/testkit/src/sim/event.rs
@@ -110,10 +110,10 @@
 }
 
 /// An event and its time; events of the same time happen in the order they were scheduled in.
-struct ScheduledEvent {
-    due_at: Ms,
+pub(super) struct ScheduledEvent {
+    pub due_at: Ms,
     sequence: u64,
-    event: SimulationEvent,
+    pub event: SimulationEvent,
 }
 
 impl PartialEq for ScheduledEvent {
@@ -151,13 +151,12 @@
         });
     }
 
-    /// The next event, with its time, if it is due by then.
-    pub(super) fn pop_due(&mut self, until: Ms) -> Option<(Ms, SimulationEvent)> {
+    /// The next event, if it is due by then.
+    pub(super) fn pop_due(&mut self, until: Ms) -> Option<ScheduledEvent> {
         let next = self.heap.peek()?;
         if next.due_at > until {
             return None;
         }
-        let next = self.heap.pop()?;
-        Some((next.due_at, next.event))
+        self.heap.pop()
     }
 }
--- a/crates/testkit/src/sim/gang.rs
+++ b/crates/testkit/src/sim/gang.rs
@@ -9,13 +9,16 @@
 use std::collections::BTreeMap;
 use stonegw_wire::msg::{ExitCause, JobKind, JobSpec, TaskState};
 
-/// The tasks of one attempt of a gang that wait for each other: the machine of each, by index.
-struct GatheringGang {
+/// One attempt of a gang.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct GangAttempt {
     job_id: String,
     attempt: u64,
-    machines: BTreeMap<u32, String>,
 }
 
+/// The machines of tasks that wait for each other, by the tasks' indices.
+type GatheringMachines = BTreeMap<u32, String>;
+
 /// How a task of a run is at the moment.
 #[derive(PartialEq)]
 enum MemberState {
@@ -54,44 +57,38 @@
 
     /// Starts each attempt of which all tasks wait.
     fn start_complete_gangs(&mut self) {
-        for gang in self.gathering_gangs() {
-            if gang.machines.len() == self.jobs[&gang.job_id].spec.task_count as usize {
-                self.start_gang(gang);
+        for (gang, machines) in self.gathering_gangs() {
+            if machines.len() == self.jobs[&gang.job_id].spec.task_count as usize {
+                self.start_gang(gang, machines.into_values().collect());
             }
         }
     }
 
-    /// The attempts of which tasks wait for the others, by job and attempt. A task on a machine
-    /// that hangs does not take part.
-    fn gathering_gangs(&self) -> Vec<GatheringGang> {
-        let mut gangs: BTreeMap<(&str, u64), BTreeMap<u32, String>> = BTreeMap::new();
+    /// The attempts of which tasks wait for the others, and where. A task on a machine that hangs
+    /// does not take part.
+    fn gathering_gangs(&self) -> BTreeMap<GangAttempt, GatheringMachines> {
+        let mut gangs: BTreeMap<GangAttempt, GatheringMachines> = BTreeMap::new();
         let workers = self.workers.values();
         for worker in workers.filter(|worker| self.now >= worker.hung_until) {
             for (key, task) in &worker.tasks {
                 if task.state == TaskState::WaitingForGang {
                     let (job_id, index) = parse_task_id(&key.task_id);
-                    let machines = gangs.entry((job_id, key.attempt)).or_default();
+                    let gang = GangAttempt {
+                        job_id: job_id.to_owned(),
+                        attempt: key.attempt,
+                    };
+                    let machines = gangs.entry(gang).or_default();
                     machines.insert(index, worker.id.clone());
                 }
             }
         }
-        let gangs = gangs.into_iter();
         gangs
-            .map(|((job_id, attempt), machines)| GatheringGang {
-                job_id: job_id.to_owned(),
-                attempt,
-                machines,
-            })
-            .collect()
     }
 
-    fn start_gang(&mut self, gang: GatheringGang) {
+    /// Starts a gang; `machines` are those of its tasks, by index.
+    fn start_gang(&mut self, gang: GangAttempt, machines: Vec<String>) {
         let now = self.now;
-        let GatheringGang {
-            job_id,
-            attempt,
-            machines,
-        } = gang;
+        let GangAttempt { job_id, attempt } = gang;
         self.append_log(format!("gang {job_id}#{attempt} starts"));
         if !self.jobs[&job_id].finished_tasks.is_empty() {
             self.record_violation(format!("ran_again {job_id} after it was done"));
@@ -107,7 +104,7 @@
         let run = GangRun {
             job_id,
             attempt,
-            machines: machines.into_values().collect(),
+            machines,
             initial_progress_ms: job.saved_progress_ms,
             started_at: now,
             phase: GangRunPhase::Running,
@@ -215,8 +212,8 @@
         self.append_log(text);
     }
 
-    /// Tasks of a failed run exit: those told to stop when they are through with saving, which
-    /// is in vain, the others when they notice.
+    /// Tasks of a failed run exit: those that were stopped when they are through with saving, which
+    /// is in vain, the others when they notice the failure.
     fn exit_failed_members(&mut self, run_id: GangRunId, failed_at: Ms) {
         let run = self.gang_runs.get(run_id);
         let save_ms = save_duration_ms(&self.jobs[&run.job_id].spec);
--- a/crates/testkit/src/sim/heartbeat.rs
+++ b/crates/testkit/src/sim/heartbeat.rs
@@ -3,13 +3,20 @@
 use super::requests::Requester;
 use super::simulation::Simulation;
 use crate::stand_ins::{
-    HeartbeatInFlight, HEARTBEAT_INTERVAL_MS, HEARTBEAT_RETRY_MS, HEARTBEAT_TIMEOUT_MS,
+    HeartbeatInFlight, Worker, HEARTBEAT_INTERVAL_MS, HEARTBEAT_RETRY_MS, HEARTBEAT_TIMEOUT_MS,
 };
 use stonegw_wire::http::Request;
 use stonegw_wire::msg::{decode, encode, CommandBatch, Heartbeat, Redirect};
 
 const HEARTBEAT_PATH: &str = "/agent/beat";
 
+/// What becomes of a heartbeat.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum HeartbeatDelivery {
+    Arrives,
+    Lost,
+}
+
 /// A heartbeat as a request to a node.
 fn heartbeat_request(body: Vec<u8>) -> Request {
     Request {
@@ -44,8 +51,20 @@
         self.requests.remove(heartbeat.request_id);
     }
 
-    /// Sends a heartbeat; it is lost if the worker is partitioned from its node, or by a fault.
-    pub(super) fn send_heartbeat(&mut self, id: &str, is_partitioned: bool) {
+    /// What becomes of a heartbeat that the worker sends now.
+    pub(super) fn heartbeat_delivery(&self, worker: &Worker) -> HeartbeatDelivery {
+        let node = worker.heartbeat_node;
+        let faults = &self.network_faults;
+        let is_lost = faults.is_node_partitioned_from_zone(self.now, node, &worker.zone)
+            || self.worker_faults.loses_heartbeats(self.now, &worker.id);
+        match is_lost {
+            true => HeartbeatDelivery::Lost,
+            false => HeartbeatDelivery::Arrives,
+        }
+    }
+
+    /// Sends a heartbeat.
+    pub(super) fn send_heartbeat(&mut self, id: &str, delivery: HeartbeatDelivery) {
         let now = self.now;
         let request_id = self.requests.allocate_id();
         let worker = self.worker_mut(id);
@@ -57,7 +76,7 @@
         });
         let node = worker.heartbeat_node;
         let heartbeat = worker.build_heartbeat(now);
-        if !is_partitioned && !self.worker_faults.loses_heartbeats(now, id) {
+        if delivery == HeartbeatDelivery::Arrives {
             let requester = Requester::Worker(id.into());
             self.requests.insert(request_id, requester);
             let arrival = SimulationEvent::RequestArrival {
@@ -85,7 +104,7 @@
         self.schedule_after(copy.delay_ms, arrival);
     }
 
-    /// Keeps a heartbeat that the machine makes now, to be delivered later.
+    /// Withholds a heartbeat that the machine makes now, to be delivered later.
     pub fn withhold_heartbeat(&mut self, id: &str) {
         let now = self.now;
         let heartbeat = self.worker_mut(id).build_heartbeat(now);
@@ -93,7 +112,7 @@
         withheld.push_back(encode(&heartbeat));
     }
 
-    /// Delivers the first heartbeat that is kept to a node; nobody waits for the reply.
+    /// Delivers the first withheld heartbeat to a node; nobody waits for the reply.
     pub fn deliver_withheld_heartbeat(&mut self, node: usize) {
         if let Some(body) = self.worker_faults.withheld_heartbeats.pop_front() {
             let request_id = self.requests.add(Requester::LogOnly);
--- a/crates/testkit/src/sim/user.rs
+++ b/crates/testkit/src/sim/user.rs
@@ -22,6 +22,35 @@
     }
 }
 
+/// What a job's user sends next.
+struct NextRequest {
+    requester: Requester,
+    request: Request,
+}
+
+impl NextRequest {
+    /// The submission until it is accepted, then the cancel if one is wanted, then questions.
+    fn of_job(job_id: &str, job: &SubmittedJob) -> NextRequest {
+        let path = format!("/submissions/{job_id}");
+        if !job.is_accepted {
+            NextRequest {
+                requester: Requester::Submit(job_id.into()),
+                request: user_request("POST", "/submissions", encode(&job.spec)),
+            }
+        } else if job.cancel_requested && job.reported_cancelled_at.is_none() {
+            NextRequest {
+                requester: Requester::Cancel(job_id.into()),
+                request: user_request("POST", &format!("{path}/cancel"), vec![]),
+            }
+        } else {
+            NextRequest {
+                requester: Requester::Poll(job_id.into()),
+                request: user_request("GET", &path, vec![]),
+            }
+        }
+    }
+}
+
 impl Simulation {
     fn job_mut(&mut self, job_id: &str) -> &mut SubmittedJob {
         self.jobs.get_mut(job_id).expect("job")
@@ -80,18 +109,18 @@
         self.send_user_request(job_id, node);
     }
 
-    /// The user's next request: the submission until accepted, then the cancel, then questions.
-    /// It takes the place of the last one if that has not been answered.
+    /// Sends the user's next request. It takes the place of the last one if that has not been
+    /// answered.
     fn send_user_request(&mut self, job_id: &str, node: usize) {
         let request_id = self.requests.allocate_id();
         let job = self.job_mut(job_id);
         let unanswered = job.request_in_flight.replace(request_id);
-        let (requester, request) = next_user_request(job_id, job);
+        let next = NextRequest::of_job(job_id, job);
         if let Some(unanswered) = unanswered {
             self.requests.remove(unanswered);
         }
-        self.requests.insert(request_id, requester);
-        self.send_request(request_id, node, request);
+        self.requests.insert(request_id, next.requester);
+        self.send_request(request_id, node, next.request);
     }
 
     /// Sends a request of nobody in particular; the reply is logged.
@@ -204,17 +233,3 @@
         }
     }
 }
-
-fn next_user_request(job_id: &str, job: &SubmittedJob) -> (Requester, Request) {
-    let path = format!("/submissions/{job_id}");
-    if !job.is_accepted {
-        let request = user_request("POST", "/submissions", encode(&job.spec));
-        (Requester::Submit(job_id.into()), request)
-    } else if job.cancel_requested && job.reported_cancelled_at.is_none() {
-        let request = user_request("POST", &format!("{path}/cancel"), vec![]);
-        (Requester::Cancel(job_id.into()), request)
-    } else {
-        let request = user_request("GET", &path, vec![]);
-        (Requester::Poll(job_id.into()), request)
-    }
-}
--- a/crates/testkit/src/sim/worker.rs
+++ b/crates/testkit/src/sim/worker.rs
@@ -30,17 +30,13 @@
         }
         // Looked at before the turn: a heartbeat right after the worker turned to another node
         // fares as it would have at the old one.
-        let is_partitioned = self.network_faults.is_node_partitioned_from_zone(
-            now,
-            worker.heartbeat_node,
-            &worker.zone,
-        );
+        let delivery = self.heartbeat_delivery(worker);
         self.expire_worker_lease(id);
         self.start_fetched_tasks(id);
         self.finish_due_tasks(id);
         self.time_out_heartbeat(id);
         if self.workers[id].is_heartbeat_due(now) {
-            self.send_heartbeat(id, is_partitioned);
+            self.send_heartbeat(id, delivery);
         }
         let next_due_at = self.workers[id].next_due_at();
         self.schedule_worker_wakeup(id, next_due_at.max(now + 1));
--- a/crates/testkit/src/stand_ins/cloud.rs
+++ b/crates/testkit/src/stand_ins/cloud.rs
@@ -1,5 +1,7 @@
 //! The cloud: provisions, lists and deletes machines.
-use super::{machine_address, machine_id, query_parameter, HttpResponse, Ms, EMPTY_MAP};
+use super::http::{query_parameter, HttpResponse, EMPTY_MAP};
+use super::parameters::Ms;
+use super::worker::{machine_address, machine_id};
 use std::collections::BTreeMap;
 use stonegw_wire::msg::{
     decode, encode, Catalog, ListedMachine, MachineIds, MachineListPage, MachineState,
--- a/crates/testkit/src/stand_ins/cluster.rs
+++ b/crates/testkit/src/stand_ins/cluster.rs
@@ -1,5 +1,7 @@
 //! The workers and jobs together: which tasks are where.
-use super::{job_id_of, SubmittedJob, Task, TaskKey, Worker};
+use super::job::SubmittedJob;
+use super::task::{job_id_of, Task, TaskKey};
+use super::worker::Worker;
 use std::collections::BTreeMap;
 use stonegw_wire::msg::TaskState;
 
--- a/crates/testkit/src/stand_ins/faults.rs
+++ b/crates/testkit/src/stand_ins/faults.rs
@@ -1,6 +1,6 @@
 //! The faults in force: between nodes, at the store, at the workers, and what users do to provoke
 //! some. They hold what is wrong until when; the simulation asks them and acts on it.
-use super::Ms;
+use super::parameters::Ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How late a delayed transaction arrives: after its sender has given it up.
@@ -283,7 +283,7 @@
     pub direct_command_copy_delay_ms: BTreeMap<String, Ms>,
     /// Heartbeats of all machines that are copied.
     pub duplicated_heartbeats: HeartbeatDuplication,
-    /// Encoded heartbeats that are kept back, to be delivered late, one at a time.
+    /// Encoded heartbeats that are withheld, to be delivered late, one at a time.
     pub withheld_heartbeats: VecDeque<Vec<u8>>,
     /// Machines that have crashed.
     pub crashed_machines: BTreeSet<String>,
--- /dev/null
+++ b/crates/testkit/src/stand_ins/http.rs
@@ -0,0 +1,37 @@
+//! HTTP as the models speak it: responses, and parameters in paths.
+use stonegw_wire::msg::{encode, ErrorBody};
+
+/// A response of the key-value store, the cloud or a worker.
+#[derive(Clone, Debug)]
+pub struct HttpResponse {
+    /// The HTTP status.
+    pub status: u16,
+    /// The body in MessagePack.
+    pub body: Vec<u8>,
+}
+
+impl HttpResponse {
+    /// Status 200 with a body.
+    pub(crate) fn ok(body: Vec<u8>) -> HttpResponse {
+        HttpResponse { status: 200, body }
+    }
+
+    /// A status and the reason for it.
+    pub(crate) fn error(status: u16, reason: &str) -> HttpResponse {
+        let body = encode(&ErrorBody {
+            error: reason.into(),
+        });
+        HttpResponse { status, body }
+    }
+}
+
+/// An empty map in MessagePack.
+pub(super) const EMPTY_MAP: u8 = 0x80;
+
+/// The value of a parameter in a path's query.
+pub(crate) fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+    let (_, query) = path.split_once('?')?;
+    query
+        .split('&')
+        .find_map(|parameter| parameter.strip_prefix(name)?.strip_prefix('='))
+}
--- a/crates/testkit/src/stand_ins/job.rs
+++ b/crates/testkit/src/stand_ins/job.rs
@@ -1,5 +1,5 @@
 //! A job as its user and its tasks know it.
-use super::Ms;
+use super::parameters::Ms;
 use std::collections::BTreeSet;
 use stonegw_wire::msg::{JobKind, JobPhase, JobSpec, Priority};
 
--- a/crates/testkit/src/stand_ins/parameters.rs
+++ b/crates/testkit/src/stand_ins/parameters.rs
@@ -1,5 +1,6 @@
 //! Times and sizes that the models, the rule checks and the nodes' settings share.
-use super::Ms;
+/// Milliseconds of simulated time, or a span of it.
+pub type Ms = u64;
 
 /// How often a worker sends a heartbeat.
 pub const HEARTBEAT_INTERVAL_MS: Ms = 3_000;
--- a/crates/testkit/src/stand_ins/store.rs
+++ b/crates/testkit/src/stand_ins/store.rs
@@ -1,5 +1,6 @@
 //! The key-value store: keys, transactions, leases and watches.
-use super::{query_parameter, HttpResponse, Ms, EMPTY_MAP};
+use super::http::{query_parameter, HttpResponse, EMPTY_MAP};
+use super::parameters::Ms;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use stonegw_wire::msg::{
--- a/crates/testkit/src/stand_ins/task.rs
+++ b/crates/testkit/src/stand_ins/task.rs
@@ -1,5 +1,5 @@
 //! Tasks on a worker and their names.
-use super::Ms;
+use super::parameters::Ms;
 use std::fmt;
 use stonegw_wire::msg::{ExitCause, TaskState};
 
--- a/crates/testkit/src/stand_ins/worker.rs
+++ b/crates/testkit/src/stand_ins/worker.rs
@@ -1,5 +1,6 @@
 //! A worker: its machine, its incarnation, its tasks, and when it has something to do.
-use super::{Ms, Task, TaskKey, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS};
+use super::parameters::{Ms, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS};
+use super::task::{Task, TaskKey};
 use std::collections::BTreeMap;
 use stonegw_wire::msg::{CommandBatch, Heartbeat, ProvisionRequest, TaskStatus};
 
@@ -49,7 +50,7 @@
     pub tasks: BTreeMap<TaskKey, Task>,
     /// When each image was there, or will be.
     pub image_ready_at: BTreeMap<String, Ms>,
-    /// The seconds until its eviction that it reports, if these stay the same.
+    /// A fixed number of seconds that it reports until its eviction.
     pub eviction_notice_s: Option<f64>,
     /// When the cloud evicts the machine; heartbeats report the time left.
     pub eviction_at: Option<Ms>,
