--- a/crates/testkit/src/sim/store_calls.rs
+++ b/crates/testkit/src/sim/store_calls.rs
@@ -2,7 +2,8 @@
 use super::event::{Caller, OutboundCall, SimulationEvent};
 use super::simulation::{Simulation, Watch};
 use crate::stand_ins::{
-    query_parameter, HttpResponse, TransactionFault, TransactionFaultKind, STORE_LATENCY_MS,
+    query_number, query_parameter, HttpResponse, TransactionFault, TransactionFaultKind,
+    STORE_LATENCY_MS,
 };
 use stonegw_wire::msg::{encode, WatchEvent, WatchResponse};
 
@@ -73,12 +74,11 @@
     }
 
     fn hold_watch(&mut self, caller: Caller, path: &str) {
-        let number = |name: &str| query_parameter(path, name).and_then(|text| text.parse().ok());
-        let held_until = self.now + number("holdMs").unwrap_or(0);
+        let held_until = self.now + query_number(path, "holdMs").unwrap_or(0);
         self.watches.push(Watch {
             caller,
             prefix: query_parameter(path, "prefix").unwrap_or("").to_owned(),
-            since_revision: number("since").unwrap_or(0),
+            since_revision: query_number(path, "since").unwrap_or(0),
             held_until,
         });
         self.schedule(held_until, SimulationEvent::WatchCheck);
--- a/crates/testkit/src/stand_ins/http.rs
+++ b/crates/testkit/src/stand_ins/http.rs
@@ -1,6 +1,9 @@
 //! HTTP as the models speak it: responses, and parameters in paths.
 use stonegw_wire::msg::{encode, ErrorBody};
 
+/// An empty map in MessagePack.
+pub(super) const EMPTY_MAP: u8 = 0x80;
+
 /// A response of the key-value store, the cloud or a worker.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
@@ -25,8 +28,10 @@
     }
 }
 
-/// An empty map in MessagePack.
-pub(super) const EMPTY_MAP: u8 = 0x80;
+/// The number in a parameter of a path's query.
+pub(crate) fn query_number(path: &str, name: &str) -> Option<u64> {
+    query_parameter(path, name).and_then(|text| text.parse().ok())
+}
 
 /// The value of a parameter in a path's query.
 pub(crate) fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
--- a/crates/testkit/src/stand_ins/mod.rs
+++ b/crates/testkit/src/stand_ins/mod.rs
@@ -16,8 +16,8 @@
     HeartbeatDuplication, IsolatedNode, NetworkFaults, NodePair, SampledFault, StoreFaults,
     StoreSlowdown, TransactionFault, TransactionFaultKind, UserFaults, WorkerFaults, ZonePartition,
 };
-pub(crate) use http::query_parameter;
 pub use http::HttpResponse;
+pub(crate) use http::{query_number, query_parameter};
 pub use job::{default_job_spec, SubmittedJob};
 pub use parameters::{
     Ms, CANCELLATION_DEADLINE_MS, CLOUD_LATENCY_MS, GANG_PEER_TIMEOUT_MS, GANG_WAIT_TIMEOUT_MS,
--- a/crates/testkit/src/stand_ins/store.rs
+++ b/crates/testkit/src/stand_ins/store.rs
@@ -1,5 +1,5 @@
 //! The key-value store: keys, transactions, leases and watches.
-use super::http::{query_parameter, HttpResponse, EMPTY_MAP};
+use super::http::{query_number, query_parameter, HttpResponse, EMPTY_MAP};
 use super::parameters::Ms;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -243,9 +243,8 @@
     }
 
     fn read_changes(&self, path: &str) -> Option<HttpResponse> {
-        let number = |name: &str| query_parameter(path, name).and_then(|text| text.parse().ok());
-        let since: u64 = number("since").unwrap_or(0);
-        let hold_ms: Ms = number("holdMs").unwrap_or(0);
+        let since = query_number(path, "since").unwrap_or(0);
+        let hold_ms = query_number(path, "holdMs").unwrap_or(0);
         let changes = self.changes_since(query_parameter(path, "prefix").unwrap_or(""), since);
         let has_to_wait = changes.events.is_empty() && hold_ms > 0;
         (!has_to_wait).then(|| HttpResponse::ok(encode(&changes)))
--- a/crates/testkit/src/trace/mod.rs
+++ b/crates/testkit/src/trace/mod.rs
@@ -1,18 +1,19 @@
 //! Reads and plays the scenarios in `traces/`: one line an event, `#` comments. Where a line takes
-//! a MACHINE, it also takes several, `host-000010..000019`, or a task, `run-1/0`: the machine that then holds it.
-//! A node is its number, `leader`, or `follower` and `other`: the first and the last that don't lead.
+//! a MACHINE, it also takes several, `host-000010..000019`, or a task, `run-1/0`: the machine that
+//! then holds it. A node is its number, `leader`, or `follower` and `other`: the first and the
+//! last that don't lead. Times are in seconds.
 //!
 //! | line | meaning |
 //! | --- | --- |
 //! | `nodes N` | controllers (3 if not said) |
-//! | `machines N ZONE` | machines up at the start |
+//! | `machines N ZONE` | machines that are ready at the start |
 //! | `write-rps N` | writes a second that nodes are told the store accepts; it accepts 60 at least |
 //! | `state-rps N` | requests a second that nodes are told it accepts |
 //! | `team NAME N MOST` | its quota and limit, in CPUs |
 //! | `txn-ops N` | writes that nodes are told a transaction may have; 8 at least pass |
 //! | `value-bytes N` | bytes that nodes are told a record may have; few make one record a machine; 8192 at least pass |
 //! | `wire S` | how long a message takes between nodes, and between them and workers and users |
-//! | `spot-machines` | the cloud has them too |
+//! | `spot-machines` | the cloud offers spot machines too |
 //! | `boot S` | how long new machines take to boot (10 if not said) |
 //! | `capacity N` | machines that may exist at most |
 //! | `T submit JOB KIND N [key value]...` | keys: cpus, gb, run, estimate, due, team, zone, type, one-zone, spread, spot, priority, image, checkpoint, save |
@@ -52,7 +53,7 @@
 //! | `calm T` | the faults are over; from then on each job's questions are answered within 75 s, and none waits 90 s beside capacity |
 //! | `T deliver-watch N` | a watch held while the store refused that node tells the first change it saw |
 //! | `T new-session MACHINE` | its worker kills and forgets all its tasks: a new incarnation |
-//! | `T notice MACHINE S` | its worker reports that much notice from now on |
+//! | `T notice MACHINE S` | its heartbeats say from now on that it is evicted in so long |
 //! | `T keep-report MACHINE` / `T deliver-kept N` | a heartbeat made now arrives at a node then |
 //! | `T hold-do MACHINE S` | only direct commands to it are held back |
 //! | `T probe N METHOD PATH` | a request of nobody in particular; its status is logged |
