--- a/crates/testkit/mixed/upgrades.rs
+++ b/crates/testkit/mixed/upgrades.rs
@@ -7,8 +7,8 @@
 use std::sync::Mutex;
 use stonegw_testkit::plan::{self, Version};
 
-/// What a node logs that can't read a record or a response. Either version's words belong here.
-const UNREADABLE_MESSAGES: [&str; 2] = ["not understood", "unexpected record"];
+/// What a node logs that can't read a record or a response, in the words of either version.
+const UNREADABLE_MESSAGES: [&str; 3] = ["not understood", "unexpected record", "undecodable"];
 
 /// Records what either version logs of records and responses that it can't read.
 struct UnreadableRecorder(Mutex<Vec<String>>);
