--- a/crates/testkit/mutants.sh
+++ b/crates/testkit/mutants.sh
@@ -8,36 +8,37 @@
 root="$(cd "$(dirname "$0")/../.." && pwd)"
 copy="${MUTANTS_DIR:-$root/target/mutants}"
 mkdir -p "$copy"
+copy="$(cd "$copy" && pwd)"
+rm -rf "$copy/crates"
+cp -r "$root/crates" "$root/Cargo.toml" "$root/Cargo.lock" "$copy/"
 bad=0
 names=" $* "
+changed=()
 is_chosen() { # trace or test
     [ "$names" = "  " ] || [[ "$names" == *" $1 "* ]]
 }
-mutant() { # trace, rule, files, perl substitution
-    is_chosen "$1" || return 0
-    rm -rf "$copy/crates"
-    cp -r "$root/crates" "$root/Cargo.toml" "$root/Cargo.lock" "$copy/"
+take_out() { # trace or test, crate, files, perl substitution; fails if a file lacks the guard
+    # Only the files of the last guard are written anew: cargo then builds what depends on them.
+    for path in "${changed[@]}"; do cp "$root/$path" "$copy/$path"; done
+    changed=()
     for file in $3; do
-        perl -0pi -e "$4" "$copy/crates/control/src/$file"
-        if cmp -s "$copy/crates/control/src/$file" "$root/crates/control/src/$file"; then
-            echo "STALE  $1: the guard was not found in $file"; bad=1; return
+        path="crates/$2/src/$file"
+        changed+=("$path")
+        perl -0pi -e "$4" "$copy/$path"
+        if cmp -s "$copy/$path" "$root/$path"; then
+            echo "STALE  $1: the guard was not found in $file"; bad=1; return 1
         fi
     done
+}
+mutant() { # trace, rule, files, perl substitution
+    is_chosen "$1" && take_out "$1" control "$3" "$4" || return 0
     out="$(cd "$copy" && CARGO_TARGET_DIR="$copy/target" cargo test -q --locked -p stonegw-testkit --tests "$1" 2>&1 || true)"
     # A rule the stand-in checks, or what the trace expects.
     if grep -q "BROKEN $2" <<<"$out" || { [ "$2" = expect ] && grep -q "panicked" <<<"$out"; }; then echo "ok     $1 breaks $2 without its guard"
     else echo "ALIVE  $1 does not break $2"; tail -5 <<<"$out"; bad=1; fi
 }
 unit_mutant() { # crate, test, files, perl substitution
-    is_chosen "$2" || return 0
-    rm -rf "$copy/crates"
-    cp -r "$root/crates" "$root/Cargo.toml" "$root/Cargo.lock" "$copy/"
-    for file in $3; do
-        perl -0pi -e "$4" "$copy/crates/$1/src/$file"
-        if cmp -s "$copy/crates/$1/src/$file" "$root/crates/$1/src/$file"; then
-            echo "STALE  $2: the guard was not found in $file"; bad=1; return
-        fi
-    done
+    is_chosen "$2" && take_out "$2" "$1" "$3" "$4" || return 0
     package="stonegw-$1"
     [ "$1" = stonegwd ] && package=stonegwd
     out="$(cd "$copy" && CARGO_TARGET_DIR="$copy/target" cargo test -q --locked -p "$package" "$2" 2>&1 || true)"
