--- a/crates/control/src/autoscaler/cloud_calls.rs
+++ b/crates/control/src/autoscaler/cloud_calls.rs
@@ -1,7 +1,7 @@
 //! When calls to the cloud may go out: its rate limit, and calls that are repeated from time to
 //! time.
 use crate::api::Millis;
-use crate::settings::TokenBucket;
+use crate::token_bucket::TokenBucket;
 use stonegw_constants::CLOUD_RETRY_BACKOFF_MS;
 
 /// Part of the cloud's rate limit that the leader uses.
