--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,6 +9,8 @@
 //! - [`cluster`]: the leader's state of machines, placements and jobs.
 //! - [`scheduling`] and [`autoscaler`]: the decisions.
 //! - [`leader`]: the leader's turn; [`node`]: a node's turn, whether it leads or not.
+#![deny(missing_docs)]
+
 // Integration tests include `test_support` too and know this crate by its name.
 #[cfg(test)]
 extern crate self as stonegw_control;
