--- a/crates/testkit/mutants.sh
+++ b/crates/testkit/mutants.sh
@@ -120,7 +120,7 @@
 unit_mutant control an_accepted_job_above_the_limit_can node/user_commits.rs 's/\.fit_within\(self\.max_record_bytes\(\)\)//'
 unit_mutant control a_submission_above_the_limit "node/admission.rs node/user_commits.rs" 's/if json_size_bytes\(&record\) > self\.max_record_bytes\(\) \{/if false {/; s/\(value_bytes <= self\.max_record_bytes\(\)\)\.then\(/true.then(/'
 unit_mutant control rejected_relayed_heartbeats node/store_relay.rs 's/self\.store_limits\.record_size_rejected\(size\);/let _ = size;/'
-unit_mutant control no_relayed_heartbeats_record_overwrites node/store_relay.rs 's/\n\s+\.min\(slot_count \/ RELAYED_HEARTBEAT_SLOTS_PER_WRITE\)//'
+unit_mutant control no_relayed_heartbeats_record_overwrites node/store_relay.rs 's/\n\s+\.min\(slot_count \/ RELAYED_HEARTBEAT_SLOTS_PER_WRITE\)//; s/\s+\.max\(settings\.max_transaction_writes \* RELAYED_HEARTBEAT_SLOTS_PER_WRITE\)//'
 unit_mutant control write_burst_stays_within node/budgets.rs 's/\n\s+\.min\(self\.settings\.store_writes_per_s\)//'
 unit_mutant control a_gang_waits_only_when_all scheduling/gang_lifecycle.rs 's/members\.iter\(\)\.map\(\|member\| member\.attempt\)\.max\(\)/members.iter().filter(|member| !member.is_stopping).map(|member| member.attempt).max()/'
 unit_mutant control an_attempt_that_lost_a_task scheduling/gang_lifecycle.rs 's/return GangState::Ending;//'
