--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -33,6 +33,15 @@
 pub const FINISH_TOLERANCE_S: f64 = 1.0;
 /// How much a second of pulling an image weighs against a second of lost run time.
 pub const IMAGE_FETCH_WEIGHT: f64 = 3.0;
+/// GB per second that a machine fetches images at least, whatever the catalogue says: it divides.
+pub const MIN_IMAGE_FETCH_GB_PER_S: f64 = 0.01;
+/// How much longer an image takes on a machine that fetches another: both share the rate.
+pub const CONCURRENT_FETCH_FACTOR: f64 = 2.0;
+/// CPUs of the smallest waiting task at least, when free capacity is counted in such tasks: it
+/// divides.
+pub const MIN_SLOT_CPUS: f64 = 0.1;
+/// s until the task of a job that has ended is expected to leave its machine.
+pub const ENDED_TASK_RELEASE_S: f64 = 1.0;
 
 /// Quantiles of the initial run-time distribution, as factors of the owner's estimate, which is
 /// "often wrong by half".
--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -4,7 +4,7 @@
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::cmp::Reverse;
-use stonegw_constants::RESOURCE_EPSILON;
+use stonegw_constants::{CONCURRENT_FETCH_FACTOR, MIN_IMAGE_FETCH_GB_PER_S, RESOURCE_EPSILON};
 use stonegw_wire::msg::JobSpec;
 
 /// Seconds that a machine takes to fetch one GB of an image, at a rate in GB/s. Concurrent fetches share
@@ -12,8 +12,12 @@
 pub(crate) fn image_fetch_s_per_gb(machine: &Machine, rate: f64) -> f64 {
     let mut placements = machine.placements.iter();
     let is_fetching = placements.any(|placement| placement.phase == Phase::Fetching);
-    let share = if is_fetching { 2.0 } else { 1.0 };
-    share / rate.max(0.01)
+    let factor = if is_fetching {
+        CONCURRENT_FETCH_FACTOR
+    } else {
+        1.0
+    };
+    factor / rate.max(MIN_IMAGE_FETCH_GB_PER_S)
 }
 
 /// The order of machines in first fit; the least is used first.
--- a/crates/control/src/scheduling/deadline_placement.rs
+++ b/crates/control/src/scheduling/deadline_placement.rs
@@ -8,7 +8,7 @@
 use crate::resources::Resources;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
-use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE};
+use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE, MIN_SLOT_CPUS};
 use stonegw_sched::placement_estimate::{
     earliest_finish, EstimatedStart, EstimatedWait, PlacementScore,
 };
@@ -239,7 +239,7 @@
             .map(|candidate| candidate.remaining_tasks)
             .sum();
         let cpus = candidates.iter().map(|candidate| candidate.spec.cpus);
-        let least_cpus = cpus.fold(f64::MAX, f64::min).max(0.1);
+        let least_cpus = cpus.fold(f64::MAX, f64::min).max(MIN_SLOT_CPUS);
         let free_slots = queues
             .iter()
             .map(|queue| {
--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Placement};
 use crate::context::LeaderContext;
 use std::collections::BTreeMap;
-use stonegw_constants::MAX_QUEUED_TASKS_PER_MACHINE;
+use stonegw_constants::{ENDED_TASK_RELEASE_S, MAX_QUEUED_TASKS_PER_MACHINE};
 use stonegw_sched::placement_estimate::{EstimatedStart, ExpectedRelease, QueueForecast};
 use stonegw_sched::pruner::{OverloadToggle, Pruner};
 use stonegw_sched::run_time_histogram::RunTimeHistogram;
@@ -125,7 +125,10 @@
     fn add_placement(&mut self, placement: &Placement) {
         let Some(job) = self.jobs.get(&placement.job) else {
             // The job has ended: its task leaves within moments.
-            return self.add_release(placement, TimeDistribution::point_mass(1.0));
+            return self.add_release(
+                placement,
+                TimeDistribution::point_mass(ENDED_TASK_RELEASE_S),
+            );
         };
         if job.spec.kind == JobKind::Service {
             return;
