--- a/crates/control/src/node/calls.rs
+++ b/crates/control/src/node/calls.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::api::{Millis, Target};
 use crate::calls::LeaderCall;
-use crate::records::StoredRecord;
+use crate::records::{StoredRecord, REPLICATED_PREFIX};
 use crate::store_limits::TransactionSize;
 use stonegw_constants::{LIST_PAGE_ENTRIES, STORE_TIMEOUT_MS};
 use stonegw_wire::msg::{encode, LeaseRequest, Txn};
@@ -76,16 +76,16 @@
         self.start_store_call(call, "GET", path, vec![], STORE_TIMEOUT_MS);
     }
 
-    /// Reads the changes of a prefix since a revision; the store waits for one for `hold_ms`.
-    pub(super) fn read_changes(
+    /// Reads the changes of the replicated prefix since the replica's revision. Without any, the
+    /// store waits for one for `hold_ms`.
+    pub(super) fn read_replica_changes(
         &mut self,
         call: StoreCall,
-        prefix: &str,
-        since_revision: u64,
         hold_ms: Millis,
         timeout_ms: Millis,
     ) {
-        let path = format!("/changes?prefix={prefix}&since={since_revision}&holdMs={hold_ms}");
+        let revision = self.replica.revision;
+        let path = format!("/changes?prefix={REPLICATED_PREFIX}&since={revision}&holdMs={hold_ms}");
         self.start_store_call(call, "GET", path, vec![], timeout_ms);
     }
 
--- a/crates/control/src/node/read_barriers.rs
+++ b/crates/control/src/node/read_barriers.rs
@@ -10,7 +10,6 @@
 use super::role::Role;
 use super::Node;
 use crate::api::{CallResult, Millis};
-use crate::records::REPLICATED_PREFIX;
 use stonegw_constants::{
     READ_BARRIER_INTERVAL_MS, REPLICA_CONFIRM_INTERVAL_MS, STORE_PROBE_INTERVAL_MS,
     STORE_TIMEOUT_MS,
@@ -22,6 +21,9 @@
 /// A barrier is given at least this long, ms, however soon its requests expire.
 const MIN_BARRIER_TIMEOUT_MS: Millis = 100;
 
+/// A barrier is answered at once, whether there are changes or not.
+const DO_NOT_HOLD_MS: Millis = 0;
+
 /// The requests that wait for the next barrier, and when it may be sent.
 #[derive(Default)]
 pub(super) struct ReadBarriers {
@@ -89,8 +91,7 @@
             requests: std::mem::take(&mut self.read_barriers.waiting),
             sent_at: now,
         };
-        let since_revision = self.replica.revision;
-        self.read_changes(call, REPLICATED_PREFIX, since_revision, 0, timeout_ms);
+        self.read_replica_changes(call, DO_NOT_HOLD_MS, timeout_ms);
     }
 
     /// Without requests nothing else would show that the store is available again: the watch may
--- a/crates/control/src/node/relay_transaction.rs
+++ b/crates/control/src/node/relay_transaction.rs
@@ -4,6 +4,16 @@
 use stonegw_constants::{MAX_TXN_BYTES, RELAYED_HEARTBEATS_OVERHEAD_BYTES, TXN_MARGIN_BYTES};
 use stonegw_wire::msg::{json_size_bytes, Heartbeat, Write};
 
+/// What a transaction with heartbeats must keep to.
+pub(super) struct RelayLimits {
+    /// How many records a node writes in turn.
+    pub(super) slot_count: usize,
+    /// How many of them one transaction may write.
+    pub(super) max_records: usize,
+    /// Bytes of JSON that one record may take.
+    pub(super) max_value_bytes: usize,
+}
+
 /// Heartbeats packed into records, ready to be sent.
 pub(super) struct RelayTransaction {
     pub(super) writes: Vec<Write<StoredRecord>>,
@@ -26,10 +36,7 @@
 /// Fills records with heartbeats one after the other.
 pub(super) struct RelayTransactionBuilder<'a> {
     node_name: &'a str,
-    slot_count: usize,
-    max_records: usize,
-    /// Bytes of JSON that the heartbeats of one record may take.
-    max_record_bytes: usize,
+    limits: RelayLimits,
     /// The heartbeats of the record that is being filled, and their bytes.
     record: Vec<Heartbeat>,
     record_bytes: usize,
@@ -42,15 +49,11 @@
     pub(super) fn new(
         node_name: &'a str,
         last_slot: usize,
-        slot_count: usize,
-        max_records: usize,
-        max_value_bytes: usize,
+        limits: RelayLimits,
     ) -> RelayTransactionBuilder<'a> {
         RelayTransactionBuilder {
             node_name,
-            slot_count,
-            max_records,
-            max_record_bytes: max_value_bytes.saturating_sub(RELAYED_HEARTBEATS_OVERHEAD_BYTES),
+            limits,
             record: vec![],
             record_bytes: 0,
             total_bytes: TXN_MARGIN_BYTES,
@@ -67,12 +70,13 @@
     pub(super) fn add(&mut self, heartbeat: &Heartbeat) -> AddOutcome {
         // With the comma that separates it from the next.
         let bytes = json_size_bytes(heartbeat) + 1;
-        if bytes > self.max_record_bytes || self.total_bytes + bytes > MAX_TXN_BYTES {
+        let max_record_bytes = self.max_record_bytes();
+        if bytes > max_record_bytes || self.total_bytes + bytes > MAX_TXN_BYTES {
             return AddOutcome::TooLarge;
         }
-        if self.record_bytes + bytes > self.max_record_bytes {
+        if self.record_bytes + bytes > max_record_bytes {
             self.finish_record();
-            if self.transaction.writes.len() >= self.max_records {
+            if self.transaction.writes.len() >= self.limits.max_records {
                 return AddOutcome::TransactionFull;
             }
         }
@@ -91,8 +95,15 @@
         self.transaction
     }
 
+    /// Bytes of JSON that the heartbeats of one record may take.
+    fn max_record_bytes(&self) -> usize {
+        self.limits
+            .max_value_bytes
+            .saturating_sub(RELAYED_HEARTBEATS_OVERHEAD_BYTES)
+    }
+
     fn finish_record(&mut self) {
-        let slot = (self.transaction.last_slot + 1) % self.slot_count;
+        let slot = (self.transaction.last_slot + 1) % self.limits.slot_count;
         let record = RelayedHeartbeatsRecord {
             relay_node: self.node_name.to_owned(),
             heartbeats: std::mem::take(&mut self.record),
--- a/crates/control/src/node/replica_sync.rs
+++ b/crates/control/src/node/replica_sync.rs
@@ -113,13 +113,8 @@
 
     fn send_watch(&mut self) {
         self.replica_sync.watch = WatchState::InFlight;
-        self.read_changes(
-            StoreCall::WatchReplica,
-            REPLICATED_PREFIX,
-            self.replica.revision,
-            WATCH_LONG_POLL_MS,
-            WATCH_LONG_POLL_MS + WATCH_GRACE_MS,
-        );
+        let timeout_ms = WATCH_LONG_POLL_MS + WATCH_GRACE_MS;
+        self.read_replica_changes(StoreCall::WatchReplica, WATCH_LONG_POLL_MS, timeout_ms);
     }
 
     /// Begins a new listing of the replica.
@@ -179,7 +174,7 @@
         self.replica_sync.watch = WatchState::Idle { next_watch_at };
     }
 
-    /// Applies a response to [`Node::read_changes`] to the replica.
+    /// Applies a response to [`Node::read_replica_changes`] to the replica.
     pub(super) fn apply_changes(&mut self, result: CallResult) -> ChangesOutcome {
         match decode_success::<WatchResponse<ReplicatedRecord>>(result) {
             Ok(changes) => {
--- a/crates/control/src/node/role.rs
+++ b/crates/control/src/node/role.rs
@@ -19,13 +19,24 @@
     /// Another node leads, or none is known yet.
     Follower,
     /// No leader is known; waits for a random time so that not all nodes campaign at once.
-    ElectionBackoff { until: Millis },
+    ElectionBackoff {
+        /// When the wait ends.
+        until: Millis,
+    },
     /// Has requested a lease.
     AcquiringLease,
     /// Has sent the transaction that creates the leader key.
-    Campaigning { lease: u64 },
+    Campaigning {
+        /// The lease under which the key is created.
+        lease: u64,
+    },
     /// That transaction had no response; the next read shows its outcome.
-    CampaignUnconfirmed { lease: u64, until: Millis },
+    CampaignUnconfirmed {
+        /// The lease under which the key may have been created.
+        lease: u64,
+        /// When the lease has run out, and with it the chance of the campaign.
+        until: Millis,
+    },
     /// The leader key is stored under our lease.
     Leader,
 }
--- a/crates/control/src/node/store_relay.rs
+++ b/crates/control/src/node/store_relay.rs
@@ -4,7 +4,9 @@
 //! leader reads them with its replica, and tells the newer of a worker's heartbeats by its
 //! incarnation and sequence number.
 use super::calls::StoreCall;
-use super::relay_transaction::{AddOutcome, RelayTransaction, RelayTransactionBuilder};
+use super::relay_transaction::{
+    AddOutcome, RelayLimits, RelayTransaction, RelayTransactionBuilder,
+};
 use super::Node;
 use crate::api::{CallResult, Millis};
 use crate::settings::Settings;
@@ -19,8 +21,8 @@
 /// The latest heartbeat of a worker that is served without the leader.
 struct RelayedHeartbeat {
     heartbeat: Heartbeat,
-    /// It says something that the store doesn't have yet.
-    has_news: bool,
+    /// It differs from what the store has.
+    needs_write: bool,
     /// When it was last written; 0: never.
     written_at: Millis,
 }
@@ -29,7 +31,7 @@
     fn new(heartbeat: Heartbeat) -> RelayedHeartbeat {
         RelayedHeartbeat {
             heartbeat,
-            has_news: true,
+            needs_write: true,
             written_at: 0,
         }
     }
@@ -40,16 +42,16 @@
         if (newer.incarnation, newer.sequence) <= (known.incarnation, known.sequence) {
             return;
         }
-        self.has_news |= known.tasks != newer.tasks || known.incarnation != newer.incarnation;
+        self.needs_write |= known.tasks != newer.tasks || known.incarnation != newer.incarnation;
         self.heartbeat = newer;
     }
 
     fn is_due(&self, now: Millis) -> bool {
-        self.has_news || now >= self.written_at + RELAYED_HEARTBEAT_REPEAT_MS
+        self.needs_write || now >= self.written_at + RELAYED_HEARTBEAT_REPEAT_MS
     }
 
     fn mark_written(&mut self, now: Millis) {
-        self.has_news = false;
+        self.needs_write = false;
         self.written_at = now;
     }
 }
@@ -125,7 +127,7 @@
     fn mark_unwritten(&mut self, machines: &[String]) {
         for machine in machines {
             if let Some(known) = self.heartbeats.get_mut(machine) {
-                known.has_news = true;
+                known.needs_write = true;
             }
         }
     }
@@ -178,13 +180,13 @@
         if due.is_empty() || max_records == 0 || !self.read_budget.try_take(now, 1.0) {
             return;
         }
-        let builder = RelayTransactionBuilder::new(
-            &self.settings.node_name,
-            self.store_relay.last_slot,
+        let limits = RelayLimits {
             slot_count,
             max_records,
-            self.store_limits.max_value_bytes(),
-        );
+            max_value_bytes: self.store_limits.max_value_bytes(),
+        };
+        let last_slot = self.store_relay.last_slot;
+        let builder = RelayTransactionBuilder::new(&self.settings.node_name, last_slot, limits);
         let transaction = self.store_relay.fill(due, builder, now);
         self.store_relay.last_slot = transaction.last_slot;
         self.send_relay_transaction(transaction);
