--- a/crates/testkit/src/stand_ins/mod.rs
+++ b/crates/testkit/src/stand_ins/mod.rs
@@ -1,26 +1,30 @@
-//! The state service, the cloud and the workers, as the protocol describes them.
+//! Models of what surrounds the controllers: the key-value store, the cloud, the workers, the
+//! users' jobs, and the faults in force. None of them knows the simulation.
 mod cloud;
+mod cluster;
+mod faults;
+mod http;
+mod job;
+mod parameters;
 mod store;
+mod task;
 mod worker;
 
-pub use cloud::Cloud;
-pub use store::{KeyValueStore, StoreLimits};
-pub use worker::{machine_address, GangRunId, Task, TaskKey, Worker};
-
-use stonegw_wire::msg::{encode, ErrorBody};
-
-/// Milliseconds of simulated time, or a span of it.
-pub type Ms = u64;
-/// Status and body of a response.
-pub type Response = (u16, Vec<u8>);
-
-fn error_response(status: u16, why: &str) -> Response {
-    (status, encode(&ErrorBody { error: why.into() }))
-}
-
-/// The value of a parameter in a path's query.
-pub(crate) fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
-    let (_, q) = path.split_once('?')?;
-    q.split('&')
-        .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
-}
+pub use cloud::{Cloud, CloudMachine};
+pub use cluster::ClusterView;
+pub use faults::{
+    HeartbeatDuplication, IsolatedNode, NetworkFaults, NodePair, SampledFault, StoreFaults,
+    StoreSlowdown, TransactionFault, TransactionFaultKind, UserFaults, WorkerFaults, ZonePartition,
+};
+pub use http::HttpResponse;
+pub(crate) use http::{query_number, query_parameter};
+pub use job::{default_job_spec, SubmittedJob};
+pub use parameters::{
+    Ms, CANCELLATION_DEADLINE_MS, CLOUD_LATENCY_MS, GANG_PEER_TIMEOUT_MS, GANG_WAIT_TIMEOUT_MS,
+    HEARTBEAT_INTERVAL_MS, MACHINE_CPUS, MACHINE_MEMORY_GB, RESOURCE_EPSILON, STORE_LATENCY_MS,
+    TASK_FAILURE_DELAY_MS, WORKER_LEASE_MS,
+};
+pub use store::{KeyValueStore, Lease, StoreLimits, StoredEntry};
+pub use task::{job_id_of, parse_task_id, GangRunId, Task, TaskKey};
+pub use worker::{machine_address, machine_id, HeartbeatInFlight, Worker};
+pub(crate) use worker::{HEARTBEAT_RETRY_MS, HEARTBEAT_TIMEOUT_MS};
