--- a/crates/control/src/node/role.rs
+++ b/crates/control/src/node/role.rs
@@ -20,7 +20,7 @@
     Follower,
     /// No leader is known; waits for a random time so that not all nodes campaign at once.
     ElectionBackoff {
-        /// When the wait is over.
+        /// When the wait ends.
         until: Millis,
     },
     /// Has requested a lease.
@@ -34,7 +34,7 @@
     CampaignUnconfirmed {
         /// The lease under which the key may have been created.
         lease: u64,
-        /// When the lease has run out, and with it the chance of a late transaction.
+        /// When the lease has run out, and with it the chance of the campaign.
         until: Millis,
     },
     /// The leader key is stored under our lease.
