--- a/crates/control/src/autoscaler/demand.rs
+++ b/crates/control/src/autoscaler/demand.rs
@@ -98,7 +98,7 @@
     let Some(team) = view.context.settings.team(&spec.team) else {
         return Some(waiting);
     };
-    let used_cpus = view.cluster.machines.team_usage(&spec.team).0;
+    let used_cpus = view.cluster.machines.team_usage(&spec.team).cpus;
     let free_cpus = (team.limit_cpus - used_cpus).max(0.0);
     Some(waiting.min((free_cpus / spec.cpus.max(MIN_TASK_SIZE)) as usize))
 }
--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -70,20 +70,15 @@
     /// What is free on a machine. `None`: the catalogue does not have its type.
     pub(crate) fn free_resources(&self, machine: &Machine) -> Option<Resources> {
         let machine_type = self.machine_type(&machine.machine_type)?;
-        let (cpus, gpus, memory_gb) = machine.free_resources(machine_type);
-        Some(Resources {
-            cpus,
-            gpus,
-            memory_gb,
-        })
+        Some(machine.free_resources(machine_type))
     }
 
     /// Whether one more task keeps its team's CPUs and GPUs within `bound`, with `extra` on top of what is
     /// placed. Memory is not counted against teams.
     fn is_team_usage_within(&self, spec: &JobSpec, bound: Resources, extra: Resources) -> bool {
-        let (cpus, gpus) = self.machines.team_usage(&spec.team);
-        cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
-            && gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
+        let usage = self.machines.team_usage(&spec.team);
+        usage.cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
+            && usage.gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
     }
 
     /// Whether one more task stays within the team's limit.
--- a/crates/control/src/cluster/machine.rs
+++ b/crates/control/src/cluster/machine.rs
@@ -2,9 +2,10 @@
 use super::command_channel::CommandChannel;
 use super::usage_account::UsageAccount;
 use super::usage_totals::AccountedUsage;
-use super::{Phase, Placement};
+use super::{Phase, Placement, TaskKey};
 use crate::api::Millis;
 use crate::pause::Pause;
+use crate::resources::Resources;
 use std::collections::{BTreeSet, VecDeque};
 use stonegw_constants::SILENT_HEARTBEAT_INTERVALS;
 use stonegw_wire::msg::MachineType;
@@ -22,6 +23,15 @@
     Terminating,
 }
 
+/// An image that a machine's cache should hold.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CachedImage {
+    /// The image's name.
+    pub name: String,
+    /// Its size in GB.
+    pub size_gb: f64,
+}
+
 /// What the leader holds about one machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
@@ -63,14 +73,14 @@
     pub eviction_at: Option<Millis>,
     /// Its tasks, until the outcome of each is stored.
     pub placements: Vec<Placement>,
-    /// Tasks queued for the capacity that frees next: job and task number.
-    pub queued: Vec<(String, u32)>,
+    /// Tasks queued for the capacity that frees next.
+    pub queued: Vec<TaskKey>,
     /// The number of the machine group whose record holds its placements.
     pub machine_group: Option<u32>,
     /// A predecessor left tasks here.
     pub loaded_from_store: bool,
-    /// Images in its cache with their sizes in GB, most recently used last.
-    pub cached_images: VecDeque<(String, f64)>,
+    /// Images in its cache, most recently used last.
+    pub cached_images: VecDeque<CachedImage>,
     /// Jobs whose tasks failed here.
     pub failed_jobs: BTreeSet<String>,
     /// It refused a task for want of capacity: it gets nothing new before.
@@ -156,28 +166,19 @@
         self.commands.is_trusted()
     }
 
-    /// CPUs, accelerators and memory that its present tasks take.
-    pub fn used_resources(&self) -> (f64, f64, f64) {
+    /// What its present tasks take.
+    pub fn used_resources(&self) -> Resources {
         self.placements
             .iter()
             .filter(|placement| placement.is_present())
-            .fold((0.0, 0.0, 0.0), |(cpus, gpus, memory_gb), placement| {
-                (
-                    cpus + placement.cpus,
-                    gpus + placement.gpus,
-                    memory_gb + placement.memory_gb,
-                )
+            .fold(Resources::default(), |used, placement| {
+                used + placement.resources()
             })
     }
 
-    /// CPUs, accelerators and memory that its present tasks leave free.
-    pub fn free_resources(&self, machine_type: &MachineType) -> (f64, f64, f64) {
-        let (cpus, gpus, memory_gb) = self.used_resources();
-        (
-            machine_type.cpus - cpus,
-            machine_type.gpus - gpus,
-            machine_type.memory_gb - memory_gb,
-        )
+    /// What its present tasks leave free.
+    pub fn free_resources(&self, machine_type: &MachineType) -> Resources {
+        Resources::of_type(machine_type) - self.used_resources()
     }
 
     /// Adds up what its tasks used since its last heartbeat.
@@ -200,16 +201,20 @@
 
     /// Whether its cache should hold the image.
     pub fn has_image(&self, image: &str) -> bool {
-        self.cached_images.iter().any(|(cached, _)| cached == image)
+        self.cached_images.iter().any(|cached| cached.name == image)
     }
 
     /// Remembers what the worker's cache holds: the most recently used images that fit.
     pub fn record_image_use(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
-        self.cached_images.retain(|(cached, _)| cached != image);
-        self.cached_images.push_back((image.into(), size_gb));
-        let mut total_gb: f64 = self.cached_images.iter().map(|(_, gb)| gb).sum();
+        self.cached_images.retain(|cached| cached.name != image);
+        self.cached_images.push_back(CachedImage {
+            name: image.into(),
+            size_gb,
+        });
+        let mut total_gb: f64 = self.cached_images.iter().map(|cached| cached.size_gb).sum();
         while total_gb > cache_gb && self.cached_images.len() > 1 {
-            total_gb -= self.cached_images.pop_front().map_or(0.0, |(_, gb)| gb);
+            let evicted = self.cached_images.pop_front();
+            total_gb -= evicted.map_or(0.0, |cached| cached.size_gb);
         }
     }
 
--- a/crates/control/src/cluster/machine_removal.rs
+++ b/crates/control/src/cluster/machine_removal.rs
@@ -1,5 +1,5 @@
 //! What becomes of the tasks of machines that get no more tasks or run no more.
-use super::{ClusterState, Phase, TaskKey, TerminationEvidence};
+use super::{ClusterState, Phase, TerminationEvidence};
 use crate::api::Millis;
 
 /// Which unsent placements are withdrawn from a machine.
@@ -38,12 +38,7 @@
         });
         let record_is_stale = !withdrawn.is_empty();
         if closing {
-            let queued = std::mem::take(&mut machine.queued);
-            withdrawn.extend(
-                queued
-                    .into_iter()
-                    .map(|(job, index)| TaskKey { job, index }),
-            );
+            withdrawn.append(&mut machine.queued);
             if machine.is_unreachable() {
                 for placement in &mut machine.placements {
                     if placement.phase == Phase::Sent {
@@ -69,11 +64,7 @@
         let queued = std::mem::take(&mut machine.queued);
         let machine_type = machine.machine_type.clone();
         drop(machine);
-        self.requeue_tasks(
-            queued
-                .into_iter()
-                .map(|(job, index)| TaskKey { job, index }),
-        );
+        self.requeue_tasks(queued);
         self.mark_group_stale(machine_id);
         let cpus = self.machine_type(&machine_type).map_or(1.0, |t| t.cpus);
         if let Some(machine) = self.machines.get(machine_id) {
--- a/crates/control/src/cluster/machines.rs
+++ b/crates/control/src/cluster/machines.rs
@@ -14,6 +14,24 @@
     lookups: Cell<u64>,
 }
 
+/// What a team's tasks take; its quota and limit don't count memory.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TeamUsage {
+    /// CPUs.
+    pub cpus: f64,
+    /// Accelerators.
+    pub gpus: f64,
+}
+
+/// How many tasks of a job may be in a zone, and elsewhere.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ZoneTaskCounts {
+    /// In the zone.
+    pub here: u32,
+    /// In all other zones.
+    pub elsewhere: u32,
+}
+
 /// A machine being changed; when the guard is dropped, the totals are brought up to date.
 pub struct MachineGuard<'a> {
     machine: &'a mut Machine,
@@ -105,14 +123,14 @@
         }
     }
 
-    /// CPUs and accelerators that a team's tasks take, over all that may be on machines.
-    pub fn team_usage(&self, team: &str) -> (f64, f64) {
+    /// What a team's tasks take, over all that may be on machines.
+    pub fn team_usage(&self, team: &str) -> TeamUsage {
         let usage = self.usage_totals.team_usage.get(team);
         let usage = usage.copied().unwrap_or_default();
-        (
-            usage.cpu_millionths as f64 / 1e6,
-            usage.gpu_millionths as f64 / 1e6,
-        )
+        TeamUsage {
+            cpus: usage.cpu_millionths as f64 / 1e6,
+            gpus: usage.gpu_millionths as f64 / 1e6,
+        }
     }
 
     fn job_usage(&self, job: &str) -> Option<&JobUsage> {
@@ -163,14 +181,17 @@
         })
     }
 
-    /// Tasks of the job that may be in that zone, and elsewhere.
-    pub fn task_counts_by_zone(&self, job: &str, zone: &str) -> (u32, u32) {
+    /// How many tasks of the job may be in that zone, and elsewhere.
+    pub fn task_counts_by_zone(&self, job: &str, zone: &str) -> ZoneTaskCounts {
         let Some(usage) = self.job_usage(job) else {
-            return (0, 0);
+            return ZoneTaskCounts::default();
         };
         let by_zone = &usage.present_tasks_by_zone;
         let here = by_zone.get(zone).copied().unwrap_or(0);
-        (here, by_zone.values().sum::<u32>() - here)
+        ZoneTaskCounts {
+            here,
+            elsewhere: by_zone.values().sum::<u32>() - here,
+        }
     }
 
     /// Machines that have something to be commanded.
--- a/crates/control/src/cluster/machines_tests.rs
+++ b/crates/control/src/cluster/machines_tests.rs
@@ -1,5 +1,5 @@
 use super::super::usage_totals::AccountedUsage;
-use super::super::{Lifecycle, Phase, Placement};
+use super::super::{Lifecycle, Phase, Placement, TaskKey};
 use super::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
@@ -14,6 +14,13 @@
     }
 }
 
+fn task(job: &str, index: u32) -> TaskKey {
+    TaskKey {
+        job: job.into(),
+        index,
+    }
+}
+
 /// Totals that drift from what they add up would break limits or start tasks twice.
 #[test]
 fn usage_totals_follow_every_change() {
@@ -25,7 +32,7 @@
         let (job, index) = (format!("run-{}", attempt % 5), rng.random_range(0..9));
         match rng.random_range(0..8) {
             0 => machines.remove(&id),
-            1 => machines.edit(&id).unwrap().queued = vec![(job, index), ("run-1".into(), 7)],
+            1 => machines.edit(&id).unwrap().queued = vec![task(&job, index), task("run-1", 7)],
             2 => machines.edit(&id).unwrap().queued.clear(),
             3 => machines.edit(&id).unwrap().zone = "b".into(),
             4 => machines
@@ -79,7 +86,7 @@
                 (expected.running_tasks, &expected.entries_by_machine)
             );
             assert_eq!(
-                machines.task_counts_by_zone(job, "b").0,
+                machines.task_counts_by_zone(job, "b").here,
                 expected
                     .present_tasks_by_zone
                     .get("b")
--- a/crates/control/src/cluster/placement_rules.rs
+++ b/crates/control/src/cluster/placement_rules.rs
@@ -11,10 +11,10 @@
     if !spec.requires_single_zone && !spec.spreads_across_zones {
         return true;
     }
-    let (here, elsewhere) = machines.task_counts_by_zone(&spec.id, zone);
+    let tasks = machines.task_counts_by_zone(&spec.id, zone);
     let max_per_zone = spec.task_count.div_ceil(2);
-    let leaves_single_zone = spec.requires_single_zone && elsewhere > 0;
-    let exceeds_spread = spec.spreads_across_zones && here >= max_per_zone;
+    let leaves_single_zone = spec.requires_single_zone && tasks.elsewhere > 0;
+    let exceeds_spread = spec.spreads_across_zones && tasks.here >= max_per_zone;
     !leaves_single_zone && !exceeds_spread
 }
 
--- a/crates/control/src/cluster/queued_tasks.rs
+++ b/crates/control/src/cluster/queued_tasks.rs
@@ -1,5 +1,5 @@
 //! Tasks that are queued on a machine for the capacity that frees next.
-use super::ClusterState;
+use super::{ClusterState, TaskKey};
 
 impl ClusterState {
     /// Takes a task out of the machines' queues.
@@ -9,9 +9,9 @@
         }
         for machine_id in self.machines.machines_of_job(job) {
             if let Some(mut machine) = self.machines.edit(&machine_id) {
-                machine.queued.retain(|(queued_job, queued_index)| {
-                    (queued_job.as_str(), *queued_index) != (job, index)
-                });
+                machine
+                    .queued
+                    .retain(|task| (task.job.as_str(), task.index) != (job, index));
             }
         }
     }
@@ -22,9 +22,9 @@
         let Some(mut machine) = self.machines.edit(machine_id) else {
             return;
         };
-        for (job_id, index) in std::mem::take(&mut machine.queued) {
-            if let Some(job) = self.jobs.get_mut(&job_id) {
-                job.requeue(index);
+        for task in std::mem::take(&mut machine.queued) {
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                job.requeue(task.index);
             }
         }
     }
@@ -35,7 +35,7 @@
             job.remove_pending(index);
         }
         if let Some(mut machine) = self.machines.edit(machine_id) {
-            machine.queued.push((job_id, index));
+            machine.queued.push(TaskKey { job: job_id, index });
         }
     }
 }
--- a/crates/control/src/cluster/usage_totals.rs
+++ b/crates/control/src/cluster/usage_totals.rs
@@ -48,9 +48,9 @@
             gpu_millionths: to_millionths(placement.gpus),
             team: placement.team.clone(),
         });
-        let queued = machine.queued.iter().map(|(job, index)| TaskUsage {
-            job: job.clone(),
-            index: *index,
+        let queued = machine.queued.iter().map(|task| TaskUsage {
+            job: task.job.clone(),
+            index: task.index,
             is_queued: true,
             is_present: false,
             is_running: false,
@@ -90,18 +90,15 @@
 
     fn matches_queue(&self, machine: &Machine) -> bool {
         let queued = &self.task_usages[machine.placements.len()..];
-        queued
-            .iter()
-            .zip(&machine.queued)
-            .all(|(usage, (job, index))| {
-                usage.is_queued && usage.index == *index && usage.job == *job
-            })
+        queued.iter().zip(&machine.queued).all(|(usage, task)| {
+            usage.is_queued && usage.index == task.index && usage.job == task.job
+        })
     }
 }
 
 /// What a team's tasks take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct TeamUsage {
+pub(super) struct TeamTotals {
     /// Millionths of CPUs.
     pub(super) cpu_millionths: i64,
     /// Millionths of accelerators.
@@ -170,7 +167,7 @@
 #[derive(Debug, Default)]
 pub(super) struct UsageTotals {
     /// What each team's tasks take.
-    pub(super) team_usage: HashMap<String, TeamUsage>,
+    pub(super) team_usage: HashMap<String, TeamTotals>,
     /// Where each job's tasks are.
     pub(super) job_usage: HashMap<String, JobUsage>,
     /// Machines that have something to be commanded.
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -108,9 +108,7 @@
             let Some(mut machine) = self.cluster.machines.edit(&machine_id) else {
                 continue;
             };
-            machine
-                .queued
-                .retain(|(queued_job, _)| queued_job != job_id);
+            machine.queued.retain(|task| task.job != job_id);
             for placement in &mut machine.placements {
                 if placement.job != job_id {
                     continue;
--- a/crates/control/src/leader/summary.rs
+++ b/crates/control/src/leader/summary.rs
@@ -30,7 +30,7 @@
         if machine.lifecycle == Lifecycle::Ready {
             let machine_type = cluster.machine_type(&machine.machine_type);
             self.cpus += machine_type.map_or(0.0, |t| t.cpus);
-            self.used_cpus += machine.used_resources().0;
+            self.used_cpus += machine.used_resources().cpus;
             self.queued += machine.queued.len();
         }
         for placement in &machine.placements {
--- a/crates/control/src/leader/task_failures_tests.rs
+++ b/crates/control/src/leader/task_failures_tests.rs
@@ -1,6 +1,6 @@
 use super::super::fixture_tests::{machine_id, FakeStore, LeaderFixture};
 use super::*;
-use crate::cluster::Machine;
+use crate::cluster::{Machine, TaskKey};
 use stonegw_constants::START_BACKOFF_MS;
 
 /// A leader with some machines that are up and some jobs of four tasks.
@@ -103,7 +103,10 @@
         fail_task(&mut leader, 100_000 * n as Millis, n, "run-1");
     }
     if let Some(mut machine) = leader.cluster.machines.edit(&machine_id(3)) {
-        machine.queued.push(("run-1".into(), 2));
+        machine.queued.push(TaskKey {
+            job: "run-1".into(),
+            index: 2,
+        });
     }
     fail_task(&mut leader, 400_000, 3, "run-1");
     assert_eq!(leader.cluster.machines.queued_count("run-1"), 0);
--- a/crates/control/src/scheduling/aging.rs
+++ b/crates/control/src/scheduling/aging.rs
@@ -238,10 +238,9 @@
     }
 
     fn clearing_cost(&self, machine: &Machine) -> ClearingCost {
-        let (used_cpus, _, _) = machine.used_resources();
         ClearingCost {
             urgent_cpus: (self.cluster.urgent_usage(machine).cpus * 1e3) as i64,
-            used_cpus: (used_cpus * 1e3) as u64,
+            used_cpus: (machine.used_resources().cpus * 1e3) as u64,
         }
     }
 
--- a/crates/control/src/scheduling/deadline_placement.rs
+++ b/crates/control/src/scheduling/deadline_placement.rs
@@ -67,9 +67,9 @@
     }
 
     fn ids_on_machine(&self, machine: &Machine) -> Vec<usize> {
-        let cached = machine.cached_images.iter();
-        cached
-            .filter_map(|(image, _)| self.0.get(image).copied())
+        let images = machine.cached_images.iter();
+        images
+            .filter_map(|cached| self.0.get(&cached.name).copied())
             .collect()
     }
 }
--- a/crates/control/src/scheduling/first_fit.rs
+++ b/crates/control/src/scheduling/first_fit.rs
@@ -2,7 +2,7 @@
 use super::preemption::Preemption;
 use super::preemption_search::{PreemptionClaims, PreemptionScope};
 use super::state::{PlacementRank, SchedulingState};
-use crate::cluster::{is_immediate, ClusterState, JobState, Machine};
+use crate::cluster::{is_immediate, ClusterState, JobState, Machine, TaskKey};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::cmp::Reverse;
@@ -181,7 +181,7 @@
             let Some(machine) = self.cluster.machines.get(id) else {
                 return;
             };
-            let Some((job_id, index)) = machine.queued.first().cloned() else {
+            let Some(TaskKey { job: job_id, index }) = machine.queued.first().cloned() else {
                 return;
             };
             let job = self.cluster.jobs.get(&job_id);
--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -2,7 +2,7 @@
 //! tasks end.
 use super::state::SchedulingState;
 use crate::api::Now;
-use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Placement};
+use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Placement, TaskKey};
 use crate::context::LeaderContext;
 use std::collections::BTreeMap;
 use stonegw_constants::MAX_QUEUED_TASKS_PER_MACHINE;
@@ -157,11 +157,11 @@
     }
 
     /// Adds the queued tasks and returns those that stay queued.
-    fn add_queued(&mut self) -> Vec<(String, u32)> {
+    fn add_queued(&mut self) -> Vec<TaskKey> {
         let machine = self.machine;
         let queued = machine.queued.iter().enumerate();
-        let staying =
-            queued.filter(|(position, (job, index))| self.add_queued_task(*position, job, *index));
+        let staying = queued
+            .filter(|(position, task)| self.add_queued_task(*position, &task.job, task.index));
         staying.map(|(_, task)| task.clone()).collect()
     }
 
--- a/crates/control/src/scheduling/preemption_search.rs
+++ b/crates/control/src/scheduling/preemption_search.rs
@@ -221,8 +221,8 @@
 ) -> HashMap<&'a str, f64> {
     let mut remaining = HashMap::new();
     for team in &context.settings.teams {
-        let (cpus, _) = cluster.machines.team_usage(&team.name);
-        remaining.insert(team.name.as_str(), cpus);
+        let usage = cluster.machines.team_usage(&team.name);
+        remaining.insert(team.name.as_str(), usage.cpus);
     }
     for machine in cluster.machines.with_pending_commands() {
         let placements = machine.placements.iter();
