--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -159,10 +159,13 @@
     /// Adds the queued tasks and returns those that stay queued.
     fn add_queued(&mut self) -> Vec<TaskKey> {
         let machine = self.machine;
-        let queued = machine.queued.iter().enumerate();
-        let staying = queued
-            .filter(|(position, task)| self.add_queued_task(*position, &task.job, task.index));
-        staying.map(|(_, task)| task.clone()).collect()
+        let mut staying = vec![];
+        for (position, task) in machine.queued.iter().enumerate() {
+            if self.add_queued_task(position, &task.job, task.index) {
+                staying.push(task.clone());
+            }
+        }
+        staying
     }
 
     /// Adds a queued task. False: it leaves the queue, for it can't start in time, its deadline has
