--- a/crates/control/src/scheduling/machine_queues.rs
+++ b/crates/control/src/scheduling/machine_queues.rs
@@ -2,7 +2,7 @@
 //! tasks end.
 use super::state::SchedulingState;
 use crate::api::Now;
-use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Placement};
+use crate::cluster::{ClusterState, JobState, Lifecycle, Machine, Placement, TaskKey};
 use crate::context::LeaderContext;
 use std::collections::BTreeMap;
 use stonegw_constants::{ENDED_TASK_RELEASE_S, MAX_QUEUED_TASKS_PER_MACHINE};
@@ -160,12 +160,12 @@
     }
 
     /// Adds the queued tasks and returns those that stay queued.
-    fn add_queued(&mut self) -> Vec<(String, u32)> {
+    fn add_queued(&mut self) -> Vec<TaskKey> {
         let machine = self.machine;
         let mut staying = vec![];
-        for (position, (job, index)) in machine.queued.iter().enumerate() {
-            if self.add_queued_task(position, job, *index) {
-                staying.push((job.clone(), *index));
+        for (position, task) in machine.queued.iter().enumerate() {
+            if self.add_queued_task(position, &task.job, task.index) {
+                staying.push(task.clone());
             }
         }
         staying
