--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,6 +1,6 @@
 //! The calls of the leader that wait for an answer, each with what the answer is needed for.
 use crate::api::Millis;
-use crate::cluster::PendingWrite;
+use crate::pending_write::PendingWrite;
 use crate::store_limits::TransactionSize;
 
 /// A call of the leader that waits for its answer.
--- a/crates/control/src/cluster/machine_group_record.rs
+++ b/crates/control/src/cluster/machine_group_record.rs
@@ -1,5 +1,6 @@
 //! The stored form of a group of machines.
-use super::{Machines, Phase, Placement, PlacementRef};
+use super::{Machines, Phase, Placement};
+use crate::pending_write::PlacementRef;
 use crate::records::{JobRow, MachineGroupRecord, MachineRow, TaskRow};
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/control/src/cluster/mod.rs
+++ b/crates/control/src/cluster/mod.rs
@@ -11,7 +11,6 @@
 mod machine_heartbeat;
 mod machine_removal;
 mod machines;
-mod pending_write;
 mod placement;
 mod placement_rules;
 mod queued_tasks;
@@ -33,7 +32,6 @@
 pub(crate) use machine_heartbeat::{HeartbeatKind, HeartbeatReceipt};
 pub(crate) use machine_removal::WithdrawScope;
 pub use machines::{MachineGuard, Machines, TeamUsage, ZoneTaskCounts};
-pub use pending_write::{PendingWrite, PlacementRef};
 pub use placement::{Phase, Placement};
 pub use placement_rules::{is_immediate, zone_allows};
 pub(crate) use reported_phase::reported_phase;
--- a/crates/control/src/leader/commit.rs
+++ b/crates/control/src/leader/commit.rs
@@ -4,8 +4,9 @@
 use super::{Leader, Stage};
 use crate::api::{Millis, Target};
 use crate::calls::LeaderCall;
-use crate::cluster::{MachineGroup, PendingWrite};
+use crate::cluster::MachineGroup;
 use crate::context::LeaderContext;
+use crate::pending_write::PendingWrite;
 use stonegw_constants::{
     COMMIT_INTERVAL_MS, GARBAGE_COLLECTION_INTERVAL_MS, RESULT_TXN_DIVISOR, STORE_TIMEOUT_MS,
     URGENT_COMMIT_RESERVE_FRACTION,
--- a/crates/control/src/leader/commit_results.rs
+++ b/crates/control/src/leader/commit_results.rs
@@ -1,8 +1,9 @@
 //! What follows from the answer to a transaction.
 use super::Leader;
 use crate::api::{CallError, CallResult, Millis};
-use crate::cluster::{PendingWrite, Phase, PlacementRef, StoredState};
+use crate::cluster::{Phase, StoredState};
 use crate::context::LeaderContext;
+use crate::pending_write::{PendingWrite, PlacementRef};
 use crate::records::{result_chunk_key, JobEnd, JobRecord, LEADER_KEY};
 use crate::store_limits::TransactionSize;
 use stonegw_constants::{STORE_RETRY_BACKOFF_MAX_MS, STORE_RETRY_BACKOFF_MS};
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -2,7 +2,8 @@
 use super::transaction_builder::TransactionBuilder;
 use super::Leader;
 use crate::api::Millis;
-use crate::cluster::{machine_group_snapshot, MachineGroup, MachineGroupSnapshot, PendingWrite};
+use crate::cluster::{machine_group_snapshot, MachineGroup, MachineGroupSnapshot};
+use crate::pending_write::PendingWrite;
 use crate::records::{machine_group_key, StoredRecord};
 use std::collections::{BTreeMap, BTreeSet};
 use stonegw_constants::MACHINE_GROUP_OVERHEAD_BYTES;
--- a/crates/control/src/leader/record_writer.rs
+++ b/crates/control/src/leader/record_writer.rs
@@ -1,6 +1,7 @@
 //! What the leader still has to write to the store, and when.
 use crate::api::Millis;
-use crate::cluster::{PendingWrite, StoredState};
+use crate::cluster::StoredState;
+use crate::pending_write::PendingWrite;
 
 /// A record that is to be deleted: a result chunk of a job that has ended.
 #[derive(Debug)]
--- a/crates/control/src/leader/results.rs
+++ b/crates/control/src/leader/results.rs
@@ -2,8 +2,9 @@
 use super::transaction_builder::TransactionBuilder;
 use super::Leader;
 use crate::api::Millis;
-use crate::cluster::{JobState, Machines, PendingWrite, Phase, PlacementRef};
+use crate::cluster::{JobState, Machines, Phase};
 use crate::context::LeaderContext;
+use crate::pending_write::{PendingWrite, PlacementRef};
 use crate::records::{
     job_key, result_chunk_key, JobEnd, JobRecord, ResultChunkRecord, StoredRecord,
 };
--- a/crates/control/src/leader/revision_reads.rs
+++ b/crates/control/src/leader/revision_reads.rs
@@ -2,8 +2,8 @@
 use super::Leader;
 use crate::api::CallResult;
 use crate::calls::LeaderCall;
-use crate::cluster::PendingWrite;
 use crate::context::LeaderContext;
+use crate::pending_write::PendingWrite;
 use serde::de::IgnoredAny;
 use stonegw_constants::STORE_RETRY_BACKOFF_MS;
 use stonegw_wire::msg::{decode, Entry};
--- a/crates/control/src/leader/transaction_builder.rs
+++ b/crates/control/src/leader/transaction_builder.rs
@@ -1,5 +1,5 @@
 //! A transaction being put together: its conditions, its writes and the capacity left in it.
-use crate::cluster::PendingWrite;
+use crate::pending_write::PendingWrite;
 use crate::records::{StoredRecord, LEADER_KEY};
 use crate::store_limits::TransactionSize;
 use stonegw_constants::{MAX_TXN_BYTES, TXN_MARGIN_BYTES};
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`api`], [`settings`], [`records`], [`resources`], [`pause`], [`token_bucket`] and
 //!   [`store_limits`]: the types that all others use; [`replica`]: each node's copy of the
 //!   replicated records.
-//! - [`calls`] and [`context`]: how the leader makes calls and what it may use during a turn.
+//! - [`pending_write`], [`calls`] and [`context`]: how the leader makes calls and what it may use during a turn.
 //! - [`cluster`]: the leader's state of machines, placements and jobs.
 //! - [`scheduling`] and [`autoscaler`]: the decisions.
 //! - [`leader`]: the leader's turn; [`node`]: a node's turn, whether it leads or not.
@@ -24,6 +24,7 @@
 pub mod node;
 mod outbox;
 pub mod pause;
+pub mod pending_write;
 pub mod records;
 pub mod replica;
 pub mod resources;
