--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -4,7 +4,7 @@
 use crate::context::LeaderContext;
 use crate::resources::Resources;
 use std::cmp::Reverse;
-use stonegw_constants::RESOURCE_EPSILON;
+use stonegw_constants::{CONCURRENT_FETCH_FACTOR, MIN_IMAGE_FETCH_GB_PER_S, RESOURCE_EPSILON};
 use stonegw_wire::msg::JobSpec;
 
 /// Seconds that a machine takes to fetch one GB of an image, at a rate in GB/s. Concurrent fetches share
@@ -12,8 +12,12 @@
 pub(crate) fn image_fetch_s_per_gb(machine: &Machine, rate: f64) -> f64 {
     let mut placements = machine.placements.iter();
     let is_fetching = placements.any(|placement| placement.phase == Phase::Fetching);
-    let share = if is_fetching { 2.0 } else { 1.0 };
-    share / rate.max(0.01)
+    let factor = if is_fetching {
+        CONCURRENT_FETCH_FACTOR
+    } else {
+        1.0
+    };
+    factor / rate.max(MIN_IMAGE_FETCH_GB_PER_S)
 }
 
 /// The order of machines in first fit; the least is used first.
@@ -70,20 +74,15 @@
     /// What is free on a machine. `None`: the catalogue does not have its type.
     pub(crate) fn free_resources(&self, machine: &Machine) -> Option<Resources> {
         let machine_type = self.machine_type(&machine.machine_type)?;
-        let (cpus, gpus, memory_gb) = machine.free_resources(machine_type);
-        Some(Resources {
-            cpus,
-            gpus,
-            memory_gb,
-        })
+        Some(machine.free_resources(machine_type))
     }
 
     /// Whether one more task keeps its team's CPUs and GPUs within `bound`, with `extra` on top of what is
     /// placed. Memory is not counted against teams.
     fn is_team_usage_within(&self, spec: &JobSpec, bound: Resources, extra: Resources) -> bool {
-        let (cpus, gpus) = self.machines.team_usage(&spec.team);
-        cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
-            && gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
+        let usage = self.machines.team_usage(&spec.team);
+        usage.cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
+            && usage.gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
     }
 
     /// Whether one more task stays within the team's limit.
--- a/crates/control/src/scheduling/deadline_placement.rs
+++ b/crates/control/src/scheduling/deadline_placement.rs
@@ -8,7 +8,7 @@
 use crate::resources::Resources;
 use std::collections::HashMap;
 use std::ops::ControlFlow;
-use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE};
+use stonegw_constants::{CHANCE_TOLERANCE, MAX_QUEUED_TASKS_PER_MACHINE, MIN_SLOT_CPUS};
 use stonegw_sched::placement_estimate::{
     earliest_finish, EstimatedStart, EstimatedWait, PlacementScore,
 };
@@ -67,9 +67,9 @@
     }
 
     fn ids_on_machine(&self, machine: &Machine) -> Vec<usize> {
-        let cached = machine.cached_images.iter();
-        cached
-            .filter_map(|(image, _)| self.0.get(image).copied())
+        let images = machine.cached_images.iter();
+        images
+            .filter_map(|cached| self.0.get(&cached.name).copied())
             .collect()
     }
 }
@@ -239,7 +239,7 @@
             .map(|candidate| candidate.remaining_tasks)
             .sum();
         let cpus = candidates.iter().map(|candidate| candidate.spec.cpus);
-        let least_cpus = cpus.fold(f64::MAX, f64::min).max(0.1);
+        let least_cpus = cpus.fold(f64::MAX, f64::min).max(MIN_SLOT_CPUS);
         let free_slots = queues
             .iter()
             .map(|queue| {
