--- a/crates/testkit/mutants.sh
+++ b/crates/testkit/mutants.sh
@@ -62,7 +62,7 @@
 mutant forgotten forgotten "node/replica_sync.rs" 's/listing\.request_in_flight = false;//'
 mutant large_job expect "scheduling/aging.rs" 's/if is_starved && job\.starved_tasks == 0/if false \&\& is_starved/'
 mutant back_at_once expect "node/election.rs" 's/conditions: vec!\[Condition \{\s+key: LEADER_KEY\.into\(\),\s+revision: 0,\s+\}\],/conditions: vec![],/'
-mutant large_zone_cut expect "node/relay_transaction.rs" 's/if self\.record_bytes \+ bytes > self\.max_record_bytes \{/if !self.record.is_empty() {/'
+mutant large_zone_cut expect "node/relay_transaction.rs" 's/if self\.record_bytes \+ bytes > max_record_bytes \{/if !self.record.is_empty() {/'
 mutant many_deaf expect "leader/machine_health.rs" 's/let unreachable_ms = if outages\.is_mass_unreachability\(now\) \{/let unreachable_ms = if false {/'
 mutant zone_cut_off expect "node/heartbeats.rs" 's/if isolation == IsolationState::Confined && may_renew \{/if false \&\& isolation == IsolationState::Confined \&\& may_renew {/'
 mutant zone_cut_off expect "leader/machine_health.rs" 's/self\.outages\.record_zones\(&counts, outage_until\)/self.outages.record_zones(\&counts, now + 1)/'
