--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -92,35 +92,38 @@
         };
         let mut shard = MachineGroup::new(StoredState::at_revision(e.revision));
         shard.estimated_bytes += json_size_bytes(&e.value);
-        shard.jobs = e.value.jobs.iter().map(|j| j.0.clone()).collect();
+        shard.jobs = e.value.jobs.iter().map(|row| row.job.clone()).collect();
         let record = e.value;
         let mut doubles = vec![];
-        for MachineRow(id, kind, zone, spot, tasks) in record.machines {
-            self.machines
-                .add(&id, || Machine::new(&id, &kind, &zone, spot, now));
+        for row in record.machines {
+            let id = row.machine;
+            self.machines.add(&id, || {
+                Machine::new(&id, &row.machine_type, &row.zone, row.is_spot, now)
+            });
             let Some(mut m) = self.machines.edit(&id) else {
                 continue;
             };
             m.loaded_from_store = true;
             let known = m.machine_group.filter(|n| *n != number);
-            for TaskRow(job, index, attempt) in tasks {
-                let Some(JobRow(job, team, cpus, gpus, memory)) = record.jobs.get(job) else {
+            for task in row.tasks {
+                let Some(job) = record.jobs.get(task.job) else {
                     log::error!("a record of {id} is not understood");
                     continue;
                 };
                 // Two records may tell of it, see `settle_double`.
-                let same =
-                    |p: &Placement| p.attempt == attempt && p.index == index && p.job == *job;
+                let same = |p: &Placement| {
+                    p.attempt == task.attempt && p.index == task.index && p.job == job.job
+                };
                 if m.placements.iter().any(same) {
                     continue;
                 }
                 m.placements.push(Placement {
-                    cpus: *cpus,
-                    gpus: *gpus,
-                    memory_gb: *memory,
-                    team: record.teams.get(*team).cloned().unwrap_or_default(),
+                    cpus: job.cpus,
+                    gpus: job.gpus,
+                    memory_gb: job.memory_gb,
+                    team: record.teams.get(job.team).cloned().unwrap_or_default(),
                     inherited: true,
-                    ..Placement::new(job, index, attempt, Phase::Sent)
+                    ..Placement::new(&job.job, task.index, task.attempt, Phase::Sent)
                 });
             }
             match known {
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -19,23 +19,32 @@
                     out.teams.push(p.team.clone());
                     out.teams.len() - 1
                 });
-                out.jobs
-                    .push(JobRow(p.job.clone(), team, p.cpus, p.gpus, p.memory_gb));
+                out.jobs.push(JobRow {
+                    job: p.job.clone(),
+                    team,
+                    cpus: p.cpus,
+                    gpus: p.gpus,
+                    memory_gb: p.memory_gb,
+                });
                 out.jobs.len() - 1
             });
-            rows.push(TaskRow(job, p.index, p.attempt));
+            rows.push(TaskRow {
+                job,
+                index: p.index,
+                attempt: p.attempt,
+            });
             if p.phase == Phase::Unstored {
                 new.push((m.id.clone(), p.attempt));
             }
         }
         if !rows.is_empty() {
-            out.machines.push(MachineRow(
-                m.id.clone(),
-                m.machine_type.clone(),
-                m.zone.clone(),
-                m.spot,
-                rows,
-            ));
+            out.machines.push(MachineRow {
+                machine: m.id.clone(),
+                machine_type: m.machine_type.clone(),
+                zone: m.zone.clone(),
+                is_spot: m.spot,
+                tasks: rows,
+            });
         }
     }
     (out, new)
@@ -86,8 +95,12 @@
                 continue;
             }
             let n = number;
-            let named: BTreeSet<String> = record.machines.iter().map(|m| m.0.clone()).collect();
-            let jobs = record.jobs.iter().map(|j| j.0.clone()).collect();
+            let named: BTreeSet<String> = record
+                .machines
+                .iter()
+                .map(|row| row.machine.clone())
+                .collect();
+            let jobs = record.jobs.iter().map(|row| row.job.clone()).collect();
             let (value, item) = if !named.is_empty() {
                 (
                     Some(StoredRecord::MachineGroup(record)),
--- a/crates/control/src/leader/machine_group_split.rs
+++ b/crates/control/src/leader/machine_group_split.rs
@@ -117,7 +117,7 @@
         let (record, _) = machine_group_record(&self.machines, &machines);
         let mut shard = MachineGroup::new(StoredState::absent());
         shard.estimated_bytes += json_size_bytes(&record);
-        shard.jobs = record.jobs.into_iter().map(|j| j.0).collect();
+        shard.jobs = record.jobs.into_iter().map(|row| row.job).collect();
         shard.is_urgent = urgent;
         shard.dirty_since = since;
         shard.stored_state.dirty = true;
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -4,6 +4,26 @@
 const LARGE_VALUE_BYTES: usize = 8 * 1024;
 const SMALL_VALUE_BYTES: usize = 2 * 1024;
 
+fn job_row(job: String) -> JobRow {
+    JobRow {
+        job,
+        team: 0,
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 2.0,
+    }
+}
+
+fn machine_row(machine: String, tasks: Vec<TaskRow>) -> MachineRow {
+    MachineRow {
+        machine,
+        machine_type: "small".into(),
+        zone: "a".into(),
+        is_spot: false,
+        tasks,
+    }
+}
+
 /// One record as the last release wrote it, of machines with eight tasks of a job each.
 fn store_with_large_group() -> FakeStore {
     let mut state = FakeStore::default();
@@ -13,11 +33,15 @@
     };
     for n in 0..32 {
         let job = format!("run-{n}");
-        record.jobs.push(JobRow(job, 0, 1.0, 0.0, 2.0));
-        let rows = (0..8).map(|i| TaskRow(n, i, 71_000_000 + (n * 10) as u64 + u64::from(i)));
-        let (id, kind, zone) = (machine_id(n), "small".to_owned(), "a".to_owned());
-        let row = MachineRow(id, kind, zone, false, rows.collect());
-        record.machines.push(row);
+        record.jobs.push(job_row(job));
+        let tasks = (0..8).map(|index| TaskRow {
+            job: n,
+            index,
+            attempt: 71_000_000 + (n * 10) as u64 + u64::from(index),
+        });
+        record
+            .machines
+            .push(machine_row(machine_id(n), tasks.collect()));
     }
     let size = json_size_bytes(&record);
     assert!(
@@ -32,9 +56,9 @@
 fn stored_placements(state: &FakeStore) -> BTreeMap<(String, u64), usize> {
     let mut told = BTreeMap::new();
     for (_, record) in state.machine_groups() {
-        for MachineRow(id, _, _, _, tasks) in record.machines {
-            for TaskRow(_, _, attempt) in tasks {
-                *told.entry((id.clone(), attempt)).or_default() += 1;
+        for row in record.machines {
+            for task in row.tasks {
+                *told.entry((row.machine.clone(), task.attempt)).or_default() += 1;
             }
         }
     }
@@ -136,12 +160,15 @@
 #[test]
 fn a_machine_leaves_a_record_only_for_one_that_tells_all_of_it() {
     let record = |attempts: &[u64]| {
-        let rows = attempts.iter().map(|a| TaskRow(0, *a as u32, *a));
-        let (kind, zone) = ("small".to_owned(), "a".to_owned());
+        let tasks = attempts.iter().map(|attempt| TaskRow {
+            job: 0,
+            index: *attempt as u32,
+            attempt: *attempt,
+        });
         StoredRecord::MachineGroup(MachineGroupRecord {
             teams: vec!["red".into()],
-            jobs: vec![JobRow("run-1".into(), 0, 1.0, 0.0, 2.0)],
-            machines: vec![MachineRow(machine_id(1), kind, zone, false, rows.collect())],
+            jobs: vec![job_row("run-1".into())],
+            machines: vec![machine_row(machine_id(1), tasks.collect())],
         })
     };
     let mut state = FakeStore::default();
