--- a/crates/control/src/cluster/machine_group_split.rs
+++ b/crates/control/src/cluster/machine_group_split.rs
@@ -129,7 +129,7 @@
         let record = machine_group_snapshot(&self.machines, &machines).record;
         let mut group = MachineGroup::new(StoredState::absent());
         group.estimated_bytes += json_size_bytes(&record);
-        group.jobs = record.jobs.into_iter().map(|row| row.0).collect();
+        group.jobs = record.jobs.into_iter().map(|row| row.job).collect();
         group.is_urgent = is_urgent;
         group.dirty_since = dirty_since;
         group.stored_state.dirty = true;
--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -6,7 +6,7 @@
 use crate::cluster::{JobState, Machine, MachineGroup, Phase, Placement, ResultChunk, StoredState};
 use crate::context::LeaderContext;
 use crate::records::{
-    parse_task_name, JobRow, MachineGroupRecord, MachineRow, ResultChunkRecord, TaskRow,
+    parse_task_name, MachineGroupRecord, MachineRow, ResultChunkRecord, TaskRow,
     MACHINE_GROUPS_PREFIX, RESULT_CHUNKS_PREFIX,
 };
 use serde::de::DeserializeOwned;
@@ -119,10 +119,10 @@
         let record = entry.value;
         let mut group = MachineGroup::new(StoredState::at_revision(entry.revision));
         group.estimated_bytes += json_size_bytes(&record);
-        group.jobs = record.jobs.iter().map(|row| row.0.clone()).collect();
+        group.jobs = record.jobs.iter().map(|row| row.job.clone()).collect();
         let mut duplicates = vec![];
         for row in &record.machines {
-            let id = row.0.clone();
+            let id = row.machine.clone();
             match self.load_machine(now, number, &record, row) {
                 Some(first_group) => duplicates.push(DuplicateMachine { id, first_group }),
                 None => {
@@ -147,13 +147,13 @@
         record: &MachineGroupRecord,
         row: &MachineRow,
     ) -> Option<u32> {
-        let MachineRow(id, machine_type, zone, is_spot, tasks) = row;
-        self.cluster
-            .machines
-            .add(id, || Machine::new(id, machine_type, zone, *is_spot, now));
+        let id = &row.machine;
+        self.cluster.machines.add(id, || {
+            Machine::new(id, &row.machine_type, &row.zone, row.is_spot, now)
+        });
         let mut machine = self.cluster.machines.edit(id)?;
         machine.loaded_from_store = true;
-        for task in tasks {
+        for task in &row.tasks {
             let Some(placement) = inherited_placement(record, task) else {
                 log::error!("a record of {id} names a job that it does not describe");
                 continue;
@@ -250,14 +250,13 @@
 /// A placement as an earlier leader stored it: its start command may have been sent. `None`: the
 /// record does not describe its job.
 fn inherited_placement(record: &MachineGroupRecord, task: &TaskRow) -> Option<Placement> {
-    let TaskRow(job_row, index, attempt) = *task;
-    let JobRow(job_id, team, cpus, gpus, memory_gb) = record.jobs.get(job_row)?;
+    let job = record.jobs.get(task.job)?;
     Some(Placement {
-        cpus: *cpus,
-        gpus: *gpus,
-        memory_gb: *memory_gb,
-        team: record.teams.get(*team).cloned().unwrap_or_default(),
+        cpus: job.cpus,
+        gpus: job.gpus,
+        memory_gb: job.memory_gb,
+        team: record.teams.get(job.team).cloned().unwrap_or_default(),
         inherited: true,
-        ..Placement::new(job_id, index, attempt, Phase::Sent)
+        ..Placement::new(&job.job, task.index, task.attempt, Phase::Sent)
     })
 }
--- a/crates/control/src/leader/machine_group_records.rs
+++ b/crates/control/src/leader/machine_group_records.rs
@@ -88,8 +88,12 @@
             group.estimated_bytes = estimated_bytes;
             return GroupWrite::Handled;
         }
-        let machines: BTreeSet<String> = record.machines.iter().map(|row| row.0.clone()).collect();
-        let jobs = record.jobs.iter().map(|row| row.0.clone()).collect();
+        let machines: BTreeSet<String> = record
+            .machines
+            .iter()
+            .map(|row| row.machine.clone())
+            .collect();
+        let jobs = record.jobs.iter().map(|row| row.job.clone()).collect();
         let machine_group = number;
         let (value, write) = if !machines.is_empty() {
             let write = PendingWrite::MachineGroup {
