--- a/crates/control/src/node/feasibility.rs
+++ b/crates/control/src/node/feasibility.rs
@@ -1,36 +1,22 @@
 //! Decides whether a job can ever run: a machine type that fits its tasks, and its team's limit.
 use crate::settings::Settings;
-use std::fmt;
 use stonegw_constants::RESOURCE_EPSILON;
 use stonegw_wire::msg::{Catalog, JobKind, JobSpec, MachineType};
 
 /// Why a job can never run; in words, as the body of a response with status 422 has it.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FeasibilityError {
     /// The settings have no team of this name.
+    #[error("unknown team {0}")]
     UnknownTeam(String),
     /// No machine type that the job allows is large enough for one of its tasks.
+    #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
     /// What has to run at the same time is above the team's limit.
+    #[error("needs more than the team's limit")]
     AboveTeamLimit,
 }
 
-impl fmt::Display for FeasibilityError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FeasibilityError::UnknownTeam(team) => write!(formatter, "unknown team {team}"),
-            FeasibilityError::FitsNoMachineType => {
-                formatter.write_str("a task fits no allowed machine type")
-            }
-            FeasibilityError::AboveTeamLimit => {
-                formatter.write_str("needs more than the team's limit")
-            }
-        }
-    }
-}
-
-impl std::error::Error for FeasibilityError {}
-
 /// Whether a job can ever run.
 pub fn check_feasibility(
     spec: &JobSpec,
