--- a/crates/testkit/mixed/any_node.rs
+++ b/crates/testkit/mixed/any_node.rs
@@ -142,7 +142,10 @@
     let mut bytes = vec![];
     frame.write(&mut bytes);
     let parsed = Frame::parse(&bytes);
-    parsed.expect("the new version reads it").expect("whole").message
+    parsed
+        .expect("the new version reads it")
+        .expect("whole")
+        .message
 }
 
 fn to_old_link(link: Link) -> old_api::Link {
