--- a/crates/testkit/mixed/upgrades.rs
+++ b/crates/testkit/mixed/upgrades.rs
@@ -8,7 +8,13 @@
 use stonegw_testkit::plan::{self, Version};
 
 /// What a node logs that can't read a record or a response, in the words of either version.
-const UNREADABLE_MESSAGES: [&str; 3] = ["not understood", "unexpected record", "undecodable"];
+const UNREADABLE_MESSAGES: [&str; 5] = [
+    "not understood",
+    "unexpected record",
+    "undecodable",
+    "can't decode",
+    "malformed",
+];
 
 /// Records what either version logs of records and responses that it can't read.
 struct UnreadableRecorder(Mutex<Vec<String>>);
