--- a/crates/control/src/leader/load.rs
+++ b/crates/control/src/leader/load.rs
@@ -155,7 +155,9 @@
         machine.loaded_from_store = true;
         for task in &row.tasks {
             let Some(placement) = inherited_placement(record, task) else {
-                log::error!("a record of {id} names a job that it does not describe");
+                log::error!(
+                    "can't decode a record of {id}: it names a job that it does not describe"
+                );
                 continue;
             };
             // Two records may hold it, see `resolve_duplicate_machine`.
