--- a/crates/control/src/cluster/machine_group_record.rs
+++ b/crates/control/src/cluster/machine_group_record.rs
@@ -27,7 +27,11 @@
             let job_row = *job_rows
                 .entry(placement.job.as_str())
                 .or_insert_with(|| add_job_row(&mut record, placement));
-            task_rows.push(TaskRow(job_row, placement.index, placement.attempt));
+            task_rows.push(TaskRow {
+                job: job_row,
+                index: placement.index,
+                attempt: placement.attempt,
+            });
             if placement.phase == Phase::Unstored {
                 new_placements.push(PlacementRef {
                     machine: machine.id.clone(),
@@ -36,13 +40,13 @@
             }
         }
         if !task_rows.is_empty() {
-            record.machines.push(MachineRow(
-                machine.id.clone(),
-                machine.machine_type.clone(),
-                machine.zone.clone(),
-                machine.spot,
-                task_rows,
-            ));
+            record.machines.push(MachineRow {
+                machine: machine.id.clone(),
+                machine_type: machine.machine_type.clone(),
+                zone: machine.zone.clone(),
+                is_spot: machine.spot,
+                tasks: task_rows,
+            });
         }
     }
     MachineGroupSnapshot {
@@ -58,12 +62,12 @@
         record.teams.push(placement.team.clone());
         record.teams.len() - 1
     });
-    record.jobs.push(JobRow(
-        placement.job.clone(),
+    record.jobs.push(JobRow {
+        job: placement.job.clone(),
         team,
-        placement.cpus,
-        placement.gpus,
-        placement.memory_gb,
-    ));
+        cpus: placement.cpus,
+        gpus: placement.gpus,
+        memory_gb: placement.memory_gb,
+    });
     record.jobs.len() - 1
 }
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -11,6 +11,26 @@
 const LARGE_VALUE_BYTES: usize = 8 * 1024;
 const SMALL_VALUE_BYTES: usize = 2 * 1024;
 
+fn job_row(job: String) -> JobRow {
+    JobRow {
+        job,
+        team: 0,
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 2.0,
+    }
+}
+
+fn machine_row(number: usize, tasks: Vec<TaskRow>) -> MachineRow {
+    MachineRow {
+        machine: machine_id(number),
+        machine_type: "small".to_owned(),
+        zone: "a".to_owned(),
+        is_spot: false,
+        tasks,
+    }
+}
+
 /// One record as the last version wrote it, of machines with eight tasks of a job each.
 fn store_with_large_group() -> FakeStore {
     let mut store = FakeStore::default();
@@ -20,11 +40,13 @@
     };
     for n in 0..32 {
         let job = format!("run-{n}");
-        record.jobs.push(JobRow(job, 0, 1.0, 0.0, 2.0));
-        let rows = (0..8).map(|i| TaskRow(n, i, 71_000_000 + (n * 10) as u64 + u64::from(i)));
-        let (id, machine_type, zone) = (machine_id(n), "small".to_owned(), "a".to_owned());
-        let row = MachineRow(id, machine_type, zone, false, rows.collect());
-        record.machines.push(row);
+        record.jobs.push(job_row(job));
+        let tasks = (0..8).map(|index| TaskRow {
+            job: n,
+            index,
+            attempt: 71_000_000 + (n * 10) as u64 + u64::from(index),
+        });
+        record.machines.push(machine_row(n, tasks.collect()));
     }
     let size = json_size_bytes(&record);
     assert!(
@@ -39,9 +61,10 @@
 fn stored_placements(store: &FakeStore) -> BTreeMap<(String, u64), usize> {
     let mut stored = BTreeMap::new();
     for (_, record) in store.machine_groups() {
-        for MachineRow(id, _, _, _, tasks) in record.machines {
-            for TaskRow(_, _, attempt) in tasks {
-                *stored.entry((id.clone(), attempt)).or_default() += 1;
+        for machine in record.machines {
+            for task in machine.tasks {
+                let placement = (machine.machine.clone(), task.attempt);
+                *stored.entry(placement).or_default() += 1;
             }
         }
     }
@@ -163,12 +186,15 @@
 #[test]
 fn a_machine_leaves_a_record_only_for_one_that_tells_all_of_it() {
     let record = |attempts: &[u64]| {
-        let rows = attempts.iter().map(|a| TaskRow(0, *a as u32, *a));
-        let (kind, zone) = ("small".to_owned(), "a".to_owned());
+        let tasks = attempts.iter().map(|attempt| TaskRow {
+            job: 0,
+            index: *attempt as u32,
+            attempt: *attempt,
+        });
         StoredRecord::MachineGroup(MachineGroupRecord {
             teams: vec!["red".into()],
-            jobs: vec![JobRow("run-1".into(), 0, 1.0, 0.0, 2.0)],
-            machines: vec![MachineRow(machine_id(1), kind, zone, false, rows.collect())],
+            jobs: vec![job_row("run-1".into())],
+            machines: vec![machine_row(1, tasks.collect())],
         })
     };
     let mut store = FakeStore::default();
