--- a/crates/control/src/autoscaler/sizing.rs
+++ b/crates/control/src/autoscaler/sizing.rs
@@ -7,10 +7,10 @@
 use super::offer::MachineOffer;
 use super::sizing_plan::SizingPlan;
 use super::view::AutoscalerView;
-use crate::cluster::ClusterState;
+use crate::cluster::{is_urgent_service, ClusterState};
 use crate::scheduling::estimates::RunTimeEstimates;
 use std::collections::BTreeMap;
-use stonegw_wire::msg::{Catalog, JobKind, JobSpec, Priority};
+use stonegw_wire::msg::{Catalog, JobSpec};
 
 /// Decides how many machines to provision of each offer.
 pub(super) fn plan_scale_out(
@@ -41,7 +41,7 @@
         .jobs
         .values()
         .map(|job| &job.spec)
-        .rfind(|spec| spec.kind == JobKind::Service && spec.priority >= Priority::High)
+        .rfind(|spec| is_urgent_service(spec))
 }
 
 fn shortest_boot_s(catalog: &Catalog) -> f64 {
--- a/crates/control/src/cluster/eligibility.rs
+++ b/crates/control/src/cluster/eligibility.rs
@@ -3,6 +3,7 @@
 use super::{zone_allows, ClusterState, JobState, Lifecycle, Machine, Phase};
 use crate::context::LeaderContext;
 use crate::resources::Resources;
+use crate::settings::Team;
 use std::cmp::Reverse;
 use stonegw_constants::{CONCURRENT_FETCH_FACTOR, MIN_IMAGE_FETCH_GB_PER_S, RESOURCE_EPSILON};
 use stonegw_wire::msg::JobSpec;
@@ -77,9 +78,19 @@
         Some(machine.free_resources(machine_type))
     }
 
-    /// Whether one more task keeps its team's CPUs and GPUs within `bound`, with `extra` on top of what is
-    /// placed. Memory is not counted against teams.
-    fn is_team_usage_within(&self, spec: &JobSpec, bound: Resources, extra: Resources) -> bool {
+    /// Whether one more task keeps its team within a bound, with `extra` on top of what is placed. Memory
+    /// is not counted against teams.
+    fn is_team_within(
+        &self,
+        context: &LeaderContext,
+        spec: &JobSpec,
+        extra: Resources,
+        bound_of: fn(&Team) -> Resources,
+    ) -> bool {
+        let Some(team) = context.settings.team(&spec.team) else {
+            return false;
+        };
+        let bound = bound_of(team);
         let usage = self.machines.team_usage(&spec.team);
         usage.cpus + extra.cpus + spec.cpus <= bound.cpus + RESOURCE_EPSILON
             && usage.gpus + extra.gpus + spec.gpus <= bound.gpus + RESOURCE_EPSILON
@@ -97,14 +108,7 @@
         spec: &JobSpec,
         extra: Resources,
     ) -> bool {
-        context.settings.team(&spec.team).is_some_and(|team| {
-            let limit = Resources {
-                cpus: team.limit_cpus,
-                gpus: team.limit_gpus,
-                memory_gb: f64::MAX,
-            };
-            self.is_team_usage_within(spec, limit, extra)
-        })
+        self.is_team_within(context, spec, extra, Team::limit)
     }
 
     /// Whether one more task stays within the team's quota.
@@ -119,14 +123,7 @@
         spec: &JobSpec,
         extra: Resources,
     ) -> bool {
-        context.settings.team(&spec.team).is_some_and(|team| {
-            let quota = Resources {
-                cpus: team.quota_cpus,
-                gpus: team.quota_gpus,
-                memory_gb: f64::MAX,
-            };
-            self.is_team_usage_within(spec, quota, extra)
-        })
+        self.is_team_within(context, spec, extra, Team::quota)
     }
 
     /// Whether all tasks of the gang stay within their team's limit.
@@ -166,7 +163,7 @@
     pub fn first_fit_key(&self, machine: &Machine, spec: &JobSpec) -> FirstFitKey {
         let machine_type = self.machine_type(&machine.machine_type);
         let price = machine_type.map_or(0.0, |found| found.price_per_cpu(machine.spot));
-        let free_cpus = self.free_resources(machine).map_or(0.0, |free| free.cpus);
+        let free_cpus = machine_type.map_or(0.0, |found| machine.free_resources(found).cpus);
         FirstFitKey {
             image_fetch_s: self.image_fetch_s(machine, spec).round() as i64,
             price_per_cpu: (price * 1e4) as i64,
--- a/crates/control/src/cluster/job_state.rs
+++ b/crates/control/src/cluster/job_state.rs
@@ -3,7 +3,7 @@
 use crate::api::{Millis, Now};
 use crate::records::Bitmap;
 use std::collections::{BTreeMap, BTreeSet};
-use stonegw_constants::START_BACKOFF_MAX_MS;
+use stonegw_constants::{START_BACKOFF_MAX_MS, STOP_GRACE_MARGIN_S};
 use stonegw_wire::msg::{JobKind, JobSpec, Priority};
 
 /// An accepted job that has not ended.
@@ -102,6 +102,16 @@
         self.spec.priority >= Priority::High || self.spec.kind == JobKind::Service
     }
 
+    /// Whether its tasks checkpoint, so that a stopped one loses little.
+    pub fn can_checkpoint(&self) -> bool {
+        self.spec.checkpoint_interval_s > 0.0
+    }
+
+    /// The grace period in which a task that is stopped makes a last checkpoint, s.
+    pub fn checkpoint_grace_s(&self) -> f64 {
+        self.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
+    }
+
     /// Takes a pending task out, by number. False: it was not pending.
     pub fn remove_pending(&mut self, index: u32) -> bool {
         self.pending_tasks.remove(&index)
--- a/crates/control/src/cluster/mod.rs
+++ b/crates/control/src/cluster/mod.rs
@@ -33,7 +33,7 @@
 pub(crate) use machine_removal::WithdrawScope;
 pub use machines::{MachineGuard, Machines, TeamUsage, ZoneTaskCounts};
 pub use placement::{Phase, Placement};
-pub use placement_rules::{is_immediate, zone_allows};
+pub use placement_rules::{is_immediate, is_urgent_service, zone_allows};
 pub(crate) use reported_phase::reported_phase;
 pub use state::ClusterState;
 pub(crate) use state::TerminationEvidence;
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -1,16 +1,11 @@
 //! Jobs that are submitted and end, and the counts of their tasks for the other nodes.
 use super::{Leader, Stage};
-use crate::cluster::JobState;
+use crate::cluster::{is_urgent_service, JobState};
 use crate::context::LeaderContext;
 use crate::records::{result_chunk_key, JobEnd};
 use stonegw_constants::MAX_MACHINES_PER_PROVISION;
 use stonegw_wire::frame::{self, TaskCounts};
-use stonegw_wire::msg::{JobKind, JobSpec, Priority};
-
-/// Whether it is a service of high priority, whose arrivals the autoscaler keeps headroom for.
-fn is_urgent_service(spec: &JobSpec) -> bool {
-    spec.kind == JobKind::Service && spec.priority >= Priority::High
-}
+use stonegw_wire::msg::{JobKind, JobSpec};
 
 impl Leader {
     /// Takes over new jobs, and jobs that ended.
--- a/crates/control/src/leader/machine_group_split_tests.rs
+++ b/crates/control/src/leader/machine_group_split_tests.rs
@@ -71,6 +71,15 @@
     stored
 }
 
+/// How many placements are stored and may be started.
+fn startable_count(leader: &Leader) -> usize {
+    let machines = leader.cluster.machines.values();
+    let placements = machines.flat_map(|machine| &machine.placements);
+    placements
+        .filter(|placement| placement.phase == Phase::Startable)
+        .count()
+}
+
 fn assert_placed_once(leader: &Leader) {
     let mut seen = BTreeSet::new();
     for machine in leader.cluster.machines.values() {
@@ -272,17 +281,7 @@
             assert!(all.keys().all(|key| now.contains_key(key)));
         }
         assert!(waiting.is_empty(), "{waiting:?}");
-        let placed = leader
-            .cluster
-            .machines
-            .values()
-            .flat_map(|machine| &machine.placements);
-        assert_eq!(
-            placed
-                .filter(|placement| placement.phase == Phase::Startable)
-                .count(),
-            200
-        );
+        assert_eq!(startable_count(&leader), 200);
         assert!(
             fixture.refused_transactions > 0 && fixture.refused_transactions < 30,
             "{}",
@@ -316,17 +315,7 @@
     for _ in 0..400 {
         fixture.run_turn(&mut leader);
     }
-    let placed = leader
-        .cluster
-        .machines
-        .values()
-        .flat_map(|machine| &machine.placements);
-    assert_eq!(
-        placed
-            .filter(|placement| placement.phase == Phase::Startable)
-            .count(),
-        540
-    );
+    assert_eq!(startable_count(&leader), 540);
 }
 
 /// A cancellation of a job accepted under the larger limit could not be stored, nor confirmed to its user.
--- a/crates/control/src/scheduling/deadline_placement.rs
+++ b/crates/control/src/scheduling/deadline_placement.rs
@@ -208,8 +208,7 @@
     fn record_deadline_misses(&mut self, wall_ms: u64) {
         let mut missed_tasks = 0;
         for job in self.cluster.jobs.values_mut() {
-            let due_s = job.seconds_to_deadline(wall_ms);
-            if job.deadline_missed || due_s.is_none_or(|due_s| due_s > 0.0) {
+            if job.deadline_missed || !job.is_past_deadline(wall_ms) {
                 continue;
             }
             job.deadline_missed = true;
@@ -396,14 +395,17 @@
         let mut candidates = vec![];
         for job in self.cluster.jobs.values() {
             let start_limit = job.start_limit(now.monotonic_ms);
-            let remaining_tasks = job.unpruned_count().min(start_limit);
-            if is_immediate(job) || job.end_write_in_flight || remaining_tasks == 0 {
+            if is_immediate(job) || job.end_write_in_flight || start_limit == 0 {
                 continue;
             }
             let due_s = job.seconds_to_deadline(now.wall_ms);
             let Some(due_s) = due_s.filter(|due_s| *due_s > 0.0) else {
                 continue;
             };
+            let remaining_tasks = job.unpruned_count().min(start_limit);
+            if remaining_tasks == 0 {
+                continue;
+            }
             candidates.push(DeadlineCandidate {
                 due_s,
                 remaining_tasks,
--- a/crates/control/src/scheduling/first_fit.rs
+++ b/crates/control/src/scheduling/first_fit.rs
@@ -23,7 +23,7 @@
         match self {
             FirstFitSelection::Urgent => is_immediate(job) && job.is_urgent(),
             FirstFitSelection::Backfill => {
-                is_immediate(job) || is_late(job, wall_ms) || !job.pruned_tasks.is_empty()
+                is_immediate(job) || job.is_past_deadline(wall_ms) || !job.pruned_tasks.is_empty()
             }
         }
     }
@@ -63,12 +63,6 @@
     }
 }
 
-/// Whether the job's deadline has passed.
-fn is_late(job: &JobState, wall_ms: u64) -> bool {
-    let due_s = job.seconds_to_deadline(wall_ms);
-    due_s.is_some_and(|due_s| due_s <= 0.0)
-}
-
 /// What a job counts for among jobs of equal rank: an array without a deadline comes after jobs
 /// with fewer tasks left. One of thousands would otherwise keep every smaller one waiting until it is done.
 fn backlog_size(job: &JobState) -> u32 {
@@ -333,7 +327,7 @@
         if job.start_limit(context.now.monotonic_ms) == 0 {
             return None;
         }
-        let index = if is_immediate(job) || is_late(job, context.now.wall_ms) {
+        let index = if is_immediate(job) || job.is_past_deadline(context.now.wall_ms) {
             job.pending_tasks.first().copied()
         } else {
             job.next_pruned()
--- a/crates/control/src/scheduling/gang_lifecycle.rs
+++ b/crates/control/src/scheduling/gang_lifecycle.rs
@@ -134,8 +134,10 @@
                 }
             }
             GangState::Running { .. } => {
-                let can_checkpoint = self.cluster.jobs.get(job_id).is_some_and(can_checkpoint);
-                if can_checkpoint && self.is_eviction_imminent(context, job_id, &members) {
+                let job = self.cluster.jobs.get(job_id);
+                if job.is_some_and(JobState::can_checkpoint)
+                    && self.is_eviction_imminent(context, job_id, &members)
+                {
                     self.stop_gang(context, job_id);
                 }
             }
@@ -195,9 +197,9 @@
         let gang = job.gang.as_ref();
         let is_running = gang.is_some_and(|gang| matches!(gang.state, GangState::Running { .. }));
         let may_checkpoint =
-            is_running && can_checkpoint(job) && self.are_all_reachable(context, &members);
+            is_running && job.can_checkpoint() && self.are_all_reachable(context, &members);
         let grace_s = if may_checkpoint {
-            job.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
+            job.checkpoint_grace_s()
         } else {
             0.0
         };
@@ -262,10 +264,6 @@
     }
 }
 
-fn can_checkpoint(job: &JobState) -> bool {
-    job.spec.checkpoint_interval_s > 0.0
-}
-
 /// How long a gang ran, in seconds, if this leader saw all of its only attempt.
 fn observed_run_s(term: u64, now: Millis, job: &JobState) -> Option<f64> {
     let gang = job.gang.as_ref()?;
--- a/crates/control/src/scheduling/preemption.rs
+++ b/crates/control/src/scheduling/preemption.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use stonegw_constants::{
     PREEMPTION_PLAN_TIMEOUT_MS, QUOTA_RECLAIM_MACHINES_DIVISOR, QUOTA_RECLAIM_MIN_TASKS,
-    QUOTA_RECLAIM_WAIT_MS, STOP_GRACE_MARGIN_S,
+    QUOTA_RECLAIM_WAIT_MS,
 };
 use stonegw_wire::msg::JobSpec;
 
@@ -184,8 +184,8 @@
         if job.gang.is_some() {
             return GangLifecycle::new(self.cluster).stop_gang(context, &victim.job);
         }
-        let grace_s = if job.spec.checkpoint_interval_s > 0.0 {
-            job.spec.checkpoint_duration_s + STOP_GRACE_MARGIN_S
+        let grace_s = if job.can_checkpoint() {
+            job.checkpoint_grace_s()
         } else {
             0.0
         };
--- a/crates/control/src/scheduling/preemption_search.rs
+++ b/crates/control/src/scheduling/preemption_search.rs
@@ -68,7 +68,7 @@
     if job.gang.is_none() {
         return ran_ms;
     }
-    let lost_ms = if job.spec.checkpoint_interval_s > 0.0 {
+    let lost_ms = if job.can_checkpoint() {
         ran_ms.min((job.spec.checkpoint_duration_s * 1e3) as u64)
     } else {
         ran_ms
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,5 @@
 //! The settings as the state machines use them; the daemon reads and validates the files.
+use crate::resources::Resources;
 pub use crate::token_bucket::TokenBucket;
 use stonegw_constants::{
     ARRIVAL_RATE_FRACTION, HEADROOM_TASKS, IDLE_RETENTION_BOOTS, LEADER_LEASE_TTL_MS,
@@ -21,6 +22,26 @@
     pub limit_gpus: f64,
 }
 
+impl Team {
+    /// What it is guaranteed. Memory is not counted against teams.
+    pub fn quota(&self) -> Resources {
+        Resources {
+            cpus: self.quota_cpus,
+            gpus: self.quota_gpus,
+            memory_gb: f64::INFINITY,
+        }
+    }
+
+    /// What its tasks may use at any time. Memory is not counted against teams.
+    pub fn limit(&self) -> Resources {
+        Resources {
+            cpus: self.limit_cpus,
+            gpus: self.limit_gpus,
+            memory_gb: f64::INFINITY,
+        }
+    }
+}
+
 /// A service-level objective of a class of jobs, besides the jobs' own deadlines: its arrays start, or
 /// finish, within a time.
 #[derive(Clone, Debug)]
--- a/crates/testkit/mutants.sh
+++ b/crates/testkit/mutants.sh
@@ -105,7 +105,7 @@
 mutant gang_start quota "cluster/eligibility.rs" 's/self\.within_limit_with\(context, &gang\.spec, all_but_one_task\(&gang\.spec\)\)/self.within_limit(context, \&gang.spec)/'
 mutant gang_done_seen_by_half expect "leader/exits.rs" 's/else if job\.gang\.is_some\(\) \{/else if false \&\& job.gang.is_some() {/'
 mutant gang_stopped_in_time expect "scheduling/gang_lifecycle.rs" 's/(fn stop_gang\(.*?)self\.stop_gang_members\(&members,/$1self.stop_gang_members(\&members[..1],/s'
-mutant gang_stop_unheard expect "scheduling/gang_lifecycle.rs" 's/can_checkpoint\(job\) && self\.are_all_reachable\(context, &members\)/can_checkpoint(job)/'
+mutant gang_stop_unheard expect "scheduling/gang_lifecycle.rs" 's/job\.can_checkpoint\(\) && self\.are_all_reachable\(context, &members\)/job.can_checkpoint()/'
 mutant gang_never_whole expect "scheduling/gang_reservation.rs" 's/filter\(\|_\| slots\.len\(\) == task_count\)/filter(|_| true)/'
 unit_mutant stonegwd the_lower_of_present_and_next_limits_holds settings/check.rs 's/if upcoming < current \{\s+upcoming\s+\} else \{\s+current\s+\}/current/'
 unit_mutant control a_record_above_the_limit_is_divided leader/commit.rs 's/self\.cluster\.split_oversized_groups\(\);//'
